--- a/packages/direct/include/toucanstep/direct/DesiredState.h
+++ b/packages/direct/include/toucanstep/direct/DesiredState.h
@@ -50,7 +50,7 @@
     // Within this time the answer (of a stream: its first event) earns its full worth; zero where none is stated.
     base::Duration latencyTarget {};
     // A caller of this route leaves once nothing has come for this long; zero where callers wait to the end.
-    base::Duration callerPatience {};
+    base::Duration callerAbandonTimeout {};
     // 0 is the most urgent.
     int64_t priority = 0;
     // Upstreams on which one request may run.
--- a/packages/direct/src/CallRun.cpp
+++ b/packages/direct/src/CallRun.cpp
@@ -132,8 +132,8 @@
     m_rank = account && account->priority ? *account->priority : m_route->priority;
     base::Duration limit = m_call.timeLimit ? std::min(*m_call.timeLimit, m_route->timeout) : m_route->timeout;
     m_deadline = m_arrived + limit;
-    bool leavesEarlier = m_route->callerPatience > base::Duration::zero() && m_route->callerPatience < limit;
-    m_beginBy = leavesEarlier ? m_arrived + m_route->callerPatience : m_deadline;
+    bool leavesEarlier = m_route->callerAbandonTimeout > base::Duration::zero() && m_route->callerAbandonTimeout < limit;
+    m_beginBy = leavesEarlier ? m_arrived + m_route->callerAbandonTimeout : m_deadline;
     m_fingerprint = fingerprintOfCall(m_account, head, m_caller->body());
     if (m_desk.quarantine().state(m_fingerprint, m_arrived) == routing::QuarantineState::Refused) {
         refuse(statusUnavailable, "request_quarantined", Ran::No, "this request has broken off at several upstreams");
