--- a/packages/direct/include/toucanstep/direct/DesiredState.h
+++ b/packages/direct/include/toucanstep/direct/DesiredState.h
@@ -44,7 +44,7 @@
     // A broken stream may be taken up again at another upstream behind its last event.
     bool resumable = false;
     // Needs no key.
-    bool open = false;
+    bool allowsAnonymous = false;
     // Longest time for which a caller is kept waiting for the end of the answer.
     base::Duration timeout {};
     // Within this time the answer (of a stream: its first event) earns its full worth; zero where none is stated.
--- a/packages/direct/src/CallRun.cpp
+++ b/packages/direct/src/CallRun.cpp
@@ -121,7 +121,7 @@
         return false;
     }
     const Account* account = nullptr;
-    if (!m_route->open && !m_state->accounts.empty()) {
+    if (!m_route->allowsAnonymous && !m_state->accounts.empty()) {
         account = m_call.key.empty() ? nullptr : m_state->findAccountByKey(base::KeyFingerprint(base::sha256Hex(m_call.key)));
         if (!account) {
             refuse(statusUnauthorized, "unauthorized", Ran::No, "the key is missing or not known");
