--- a/packages/direct/include/toucanstep/direct/DirectGateway.h
+++ b/packages/direct/include/toucanstep/direct/DirectGateway.h
@@ -32,7 +32,7 @@
     // How long the planner's duty outlives its holder.
     base::Duration plannerLease = std::chrono::milliseconds(1500);
     // Between the orders of two planners. None is needed where engines refuse orders with an older fence.
-    base::Duration plannerHandOver {};
+    base::Duration plannerHandoverDelay {};
     // A change in the store must be in force here within this time.
     base::Duration changeBound = std::chrono::seconds(2);
     // From SIGTERM to SIGKILL.
--- a/packages/direct/src/DutyKeeper.cpp
+++ b/packages/direct/src/DutyKeeper.cpp
@@ -19,7 +19,7 @@
 {
     PlannerDutySettings duty;
     duty.lease = settings.plannerLease;
-    duty.handOver = settings.plannerHandOver;
+    duty.handOver = settings.plannerHandoverDelay;
     return duty;
 }
 
