--- a/packages/direct/include/toucanstep/direct/DirectGateway.h
+++ b/packages/direct/include/toucanstep/direct/DirectGateway.h
@@ -36,7 +36,7 @@
     // A change in the store must be in force here within this time.
     base::Duration changeBound = std::chrono::seconds(2);
     // From SIGTERM to SIGKILL.
-    base::Duration stopGrace = std::chrono::seconds(8);
+    base::Duration terminationGrace = std::chrono::seconds(8);
     // Sends beyond the first of each call, over all gateways and a window: a part of the calls, and a number more.
     double retryRatio = 0.2;
     int64_t retrySlack = 50;
--- a/packages/direct/src/GatewayCore.cpp
+++ b/packages/direct/src/GatewayCore.cpp
@@ -183,7 +183,7 @@
     if (m_leavingSince) {
         base::Duration since = now - *m_leavingSince;
         bool quiet = since > balancerNotices && !m_calls.running();
-        m_drained = quiet || since > m_settings.stopGrace - stopMargin;
+        m_drained = quiet || since > m_settings.terminationGrace - stopMargin;
         if (since > balancerNotices)
             m_callers->stop();
     }
