--- a/bench/text_slope.cpp
+++ b/bench/text_slope.cpp
@@ -105,7 +105,7 @@
         settings.domain = base::FailureDomain("a");
         settings.callers = settings.readiness = settings.peers = { "127.0.0.1", 0 };
         settings.firstStart = true;
-        settings.changeBound = changeBound;
+        settings.changePropagationLimit = changeBound;
         base::Endpoint at = m_store.endpoint();
         base::Error error;
         auto started = base::valueOr(error, [&] {
--- a/packages/direct/include/toucanstep/direct/DirectGateway.h
+++ b/packages/direct/include/toucanstep/direct/DirectGateway.h
@@ -34,7 +34,7 @@
     // Between the orders of two planners. None is needed where engines refuse orders with an older fence.
     base::Duration plannerHandoverDelay {};
     // A change in the store must be in force here within this time.
-    base::Duration changeBound = std::chrono::seconds(2);
+    base::Duration changePropagationLimit = std::chrono::seconds(2);
     // From SIGTERM to SIGKILL.
     base::Duration terminationGrace = std::chrono::seconds(8);
     // Sends beyond the first of each call, over all gateways and a window: a part of the calls, and a number more.
--- a/packages/direct/src/GatewayCore.cpp
+++ b/packages/direct/src/GatewayCore.cpp
@@ -60,13 +60,13 @@
 
 base::Duration watchPause(const DirectGatewaySettings& settings)
 {
-    return settings.changeBound * watchPausePercent / 100;
+    return settings.changePropagationLimit * watchPausePercent / 100;
 }
 
 WatchPace watchPace(const DirectGatewaySettings& settings)
 {
     base::Duration pause = watchPause(settings);
-    return { pause, std::max(pause, settings.changeBound - silentConnectionMargin) };
+    return { pause, std::max(pause, settings.changePropagationLimit - silentConnectionMargin) };
 }
 
 StoreMirrorSettings mirrorSettings(const DirectGatewaySettings& settings, const WireFormat& format)
