--- a/apps/toucanstepd/DirectMain.cpp
+++ b/apps/toucanstepd/DirectMain.cpp
@@ -77,8 +77,8 @@
     base::Endpoint store = settings->store;
     auto gateway = base::valueOr(error, [&] {
         return direct::DirectGateway::start(settings->gateway, std::make_shared<platform::PlatformFormat>(),
-            [store](io::EventLoop& loop, http1::Client& client, direct::WatchPace pace) {
-                return platform::makePlatformStore(loop, client, store, { .watchPause = pace.pause, .textWait = pace.wait });
+            [store](io::EventLoop& loop, http1::Client& client, direct::WatchPollSettings polling) {
+                return platform::makePlatformStore(loop, client, store, { .watchPause = polling.pollDelay, .textWait = polling.longPollTimeout });
             });
     });
     if (!gateway) {
--- a/bench/text_slope.cpp
+++ b/bench/text_slope.cpp
@@ -109,8 +109,8 @@
         base::Endpoint at = m_store.endpoint();
         base::Error error;
         auto started = base::valueOr(error, [&] {
-            return direct::DirectGateway::start(settings, std::make_shared<platform::PlatformFormat>(), [at](io::EventLoop& loop, http1::Client& client, direct::WatchPace pace) {
-                return platform::makePlatformStore(loop, client, at, { .watchPause = pace.pause, .textWait = pace.wait });
+            return direct::DirectGateway::start(settings, std::make_shared<platform::PlatformFormat>(), [at](io::EventLoop& loop, http1::Client& client, direct::WatchPollSettings polling) {
+                return platform::makePlatformStore(loop, client, at, { .watchPause = polling.pollDelay, .textWait = polling.longPollTimeout });
             });
         });
         if (!started)
--- a/packages/direct/include/toucanstep/direct/DirectGateway.h
+++ b/packages/direct/include/toucanstep/direct/DirectGateway.h
@@ -43,16 +43,16 @@
 };
 
 // How the store is watched where each answer of a watch is a call that is paid for.
-struct WatchPace {
+struct WatchPollSettings {
     // Of upstreams, which change often: between an answer and the next call, so that changes come together.
-    base::Duration pause {};
+    base::Duration pollDelay {};
     // Of the desired state, which seldom changes: how long one call waits for a change. A connection that has gone silent is
     // noticed a moment later.
-    base::Duration wait {};
+    base::Duration longPollTimeout {};
 };
 
 // Makes the store's client.
-using StoreFactory = std::function<std::unique_ptr<base::KeyValueStore>(io::EventLoop&, http1::Client&, WatchPace)>;
+using StoreFactory = std::function<std::unique_ptr<base::KeyValueStore>(io::EventLoop&, http1::Client&, WatchPollSettings)>;
 
 class DirectGateway {
 public:
--- a/packages/direct/src/GatewayCore.cpp
+++ b/packages/direct/src/GatewayCore.cpp
@@ -63,7 +63,7 @@
     return settings.changePropagationLimit * watchPausePercent / 100;
 }
 
-WatchPace watchPace(const DirectGatewaySettings& settings)
+WatchPollSettings watchPollSettings(const DirectGatewaySettings& settings)
 {
     base::Duration pause = watchPause(settings);
     return { pause, std::max(pause, settings.changePropagationLimit - silentConnectionMargin) };
@@ -123,7 +123,7 @@
     , m_format(std::move(format))
     , m_client(loop)
     , m_storeClient(loop)
-    , m_store(makeStore(loop, m_storeClient, watchPace(m_settings)))
+    , m_store(makeStore(loop, m_storeClient, watchPollSettings(m_settings)))
     , m_calls(loop, m_client, *m_format, m_metrics, callSettings(m_settings))
     , m_orders(
           loop, m_client, *m_format, m_settings.instance.value(), [this] { m_duty.lose("an engine has met a newer fence"); }, [this] { soon(m_tellTimer, &GatewayCore::tellPlanNow); soon(m_planTimer, &GatewayCore::planNow); })
