--- a/packages/direct/include/toucanstep/direct/Directory.h
+++ b/packages/direct/include/toucanstep/direct/Directory.h
@@ -63,7 +63,7 @@
     const std::map<std::string, base::KeyValue>& entries() const { return m_entries; }
     // When the store last answered; nothing before its first answer.
     std::optional<base::Instant> lastAnswer() const { return m_lastAnswer; }
-    bool known() const { return m_known; }
+    bool synced() const { return m_synced; }
     // What has changed since that revision; all of it where that is not known any more.
     DirectoryCopy copySince(base::Revision) const;
     // Takes a peer's copy if it is newer than this one and fits to it. Returns whether it did.
@@ -95,7 +95,7 @@
     // Keys that are missing in the store and kept for a moment, with the instant at which they go.
     std::map<std::string, base::Instant> m_lapsing;
     base::Revision m_revision;
-    bool m_known = false;
+    bool m_synced = false;
     // A peer's copy was taken since the last read of all keys.
     bool m_adopted = false;
     std::optional<base::Instant> m_lastAnswer;
--- a/packages/direct/src/Directory.cpp
+++ b/packages/direct/src/Directory.cpp
@@ -126,7 +126,7 @@
 void Directory::replaceAll(const base::RangeReply& reply)
 {
     // A slow answer may be older than what was learnt meanwhile: nothing goes back.
-    if (m_known && reply.revision < m_revision)
+    if (m_synced && reply.revision < m_revision)
         return;
     std::set<std::string> present;
     for (const auto& entry : reply.entries) {
@@ -144,10 +144,10 @@
     }
     for (const auto& key : missing)
         remove(key, reply.revision);
-    if (!m_known)
+    if (!m_synced)
         m_removalsFrom = reply.revision;
     m_revision = reply.revision;
-    m_known = true;
+    m_synced = true;
 }
 
 void Directory::onEvents(std::vector<base::WatchEvent> events, base::Revision revision)
--- a/packages/direct/src/DutyKeeper.cpp
+++ b/packages/direct/src/DutyKeeper.cpp
@@ -57,7 +57,7 @@
         join();
     if (now >= m_nextRenewal)
         renewLease();
-    if (m_joined && !m_duty.holds() && m_directory.known() && m_duty.isOpen(record(), now) && now >= m_nextTry)
+    if (m_joined && !m_duty.holds() && m_directory.synced() && m_duty.isOpen(record(), now) && now >= m_nextTry)
         seek();
 }
 
--- a/packages/direct/src/StoreMirror.cpp
+++ b/packages/direct/src/StoreMirror.cpp
@@ -47,7 +47,7 @@
 
 bool StoreMirror::known() const
 {
-    return std::all_of(m_parts.begin(), m_parts.end(), [](const Part& part) { return part.directory->known(); });
+    return std::all_of(m_parts.begin(), m_parts.end(), [](const Part& part) { return part.directory->synced(); });
 }
 
 std::vector<base::Revision> StoreMirror::revisions() const
