--- a/packages/direct/fuzz/FleetReportFuzz.cpp
+++ b/packages/direct/fuzz/FleetReportFuzz.cpp
@@ -1,4 +1,4 @@
-// Reports come as datagrams from anyone who reaches the port: no bytes may do more than give nothing.
+// Anyone who can reach the port can send datagrams: malformed input must only yield an empty result.
 
 #include "toucanstep/direct/FleetReports.h"
 
--- a/packages/direct/include/toucanstep/direct/DesiredState.h
+++ b/packages/direct/include/toucanstep/direct/DesiredState.h
@@ -1,7 +1,7 @@
-// What the operators have written, as a gateway that talks to upstreams itself needs it: routes, services, accounts.
+// The operators' configuration as a direct gateway needs it: routes, services and client accounts.
 //
-// A DesiredState is immutable once it is in force; readers share it by std::shared_ptr<const DesiredState>. Whoever reads
-// it from a format fills the lists and calls buildIndexes() once.
+// A DesiredState is immutable once it is in force; readers share it as std::shared_ptr<const DesiredState>. A parser fills
+// the lists and then calls buildIndexes() once.
 
 #pragma once
 
@@ -18,10 +18,10 @@
 namespace toucanstep::direct {
 
 using RouteId = base::StrongId<struct RouteIdTag>;
-// The operators' own number of a desired state. Versions grow, in uneven steps.
+// Assigned by the operators. Versions increase, but not necessarily by one.
 using ConfigurationVersion = base::StrongNumber<struct ConfigurationVersionTag>;
 
-// What may be done again when the outcome of an attempt is not known.
+// Whether a call may be retried when the outcome of an attempt is unknown.
 enum class Repeatability {
     Idempotent,
     AtMostOnce,
@@ -29,7 +29,7 @@
 
 struct Destination {
     base::ServiceId service;
-    // Relative to the route's other destinations.
+    // Relative to the weights of the route's other destinations.
     int64_t weight = 1;
 };
 
@@ -39,32 +39,32 @@
     // Begins and ends with a slash.
     std::string prefix;
     Repeatability repeatability = Repeatability::AtMostOnce;
-    // The answer is a series of events.
+    // The response is an event stream.
     bool streaming = false;
-    // A broken stream may be taken up again at another upstream behind its last event.
+    // A broken stream may be resumed at another upstream after the last delivered event.
     bool resumable = false;
-    // Needs no key.
+    // Calls need no API key.
     bool allowsAnonymous = false;
-    // Longest time for which a caller is kept waiting for the end of the answer.
+    // Maximum time until the end of the response.
     base::Duration timeout {};
-    // Within this time the answer (of a stream: its first event) earns its full worth; zero where none is stated.
+    // Latency objective for the response, or for the first event of a stream; zero if none is configured.
     base::Duration latencyTarget {};
-    // A caller of this route leaves once nothing has come for this long; zero where callers wait to the end.
+    // Callers of this route disconnect after this long without data; zero if they wait until the timeout.
     base::Duration callerAbandonTimeout {};
     // 0 is the most urgent.
     int64_t priority = 0;
-    // Upstreams on which one request may run.
+    // Maximum number of upstreams that one request may be sent to.
     int64_t attempts = 1;
     std::vector<Destination> destinations;
 
-    // A resumable stream counts as idempotent: a second run goes on behind what was delivered.
+    // A resumable stream counts as idempotent, since a second run continues after the events already delivered.
     bool mayRepeat() const { return repeatability == Repeatability::Idempotent || resumable; }
 };
 
 struct ModelTraits {
     base::ModelId id;
     base::Bytes memory;
-    // Expected times of a load from the weight store, from the engine's host memory, and from its disk.
+    // Expected load times from the weight store, from the engine's host memory and from its disk.
     base::Duration loadFromStore {};
     base::Duration loadFromMemory {};
     base::Duration loadFromDisk {};
@@ -74,9 +74,9 @@
 
 struct EngineTraits {
     std::vector<ModelTraits> models;
-    // For models and adapters together.
+    // Shared by models and adapters.
     base::Bytes memory;
-    // Adapters that one engine holds at most.
+    // Maximum number of adapters on one engine.
     int64_t adapterCapacity = 0;
 
     const ModelTraits* findModel(const base::ModelId&) const;
@@ -84,22 +84,22 @@
 
 struct ServiceTraits {
     base::ServiceId id;
-    // Set for pools of model engines.
+    // Only set for pools of model engines.
     std::optional<EngineTraits> engine;
 };
 
 struct Account {
     config::ClientAccount limits;
-    // Goes before the priority of the route, where set.
+    // Overrides the priority of the route.
     std::optional<int64_t> priority;
-    // What a call that states no tokens costs; 1 where calls are counted and not tokens.
+    // Cost of a call that specifies no token count; 1 if calls rather than tokens are counted.
     base::Tokens baseCost { 1 };
     bool countsTokens = false;
 
     bool limited() const { return limits.tokensPerSecond.value() > 0; }
 };
 
-// What callers may send, and how long they may take for it.
+// Size and time limits for callers' requests.
 struct CallerBounds {
     size_t headBytes = 16 * 1024;
     size_t bodyBytes = 4 * 1024 * 1024;
@@ -111,11 +111,11 @@
     ConfigurationVersion version;
     std::vector<Route> routes;
     std::vector<ServiceTraits> services;
-    // Without accounts no call needs a key.
+    // If empty, no call needs an API key.
     std::vector<Account> accounts;
     CallerBounds callers;
 
-    // The route of that host with the longest prefix that begins `path`; null where there is none.
+    // Returns the route of that host with the longest prefix of `path`, or null if there is none.
     const Route* findRoute(std::string_view host, std::string_view path) const;
     const ServiceTraits* findService(const base::ServiceId&) const;
     const Account* findAccountByKey(const base::KeyFingerprint&) const;
--- a/packages/direct/include/toucanstep/direct/DirectGateway.h
+++ b/packages/direct/include/toucanstep/direct/DirectGateway.h
@@ -1,5 +1,6 @@
-// A gateway that talks to upstreams itself: callers' HTTP on one side, engines and services on the other, and between them
-// keys, limits, routing and the placement of models. One loop thread; whoever starts it waits for the process's signals.
+// A gateway that connects to upstreams directly. It serves callers over HTTP, forwards their calls to engines and services,
+// and handles API keys, limits, routing and model placement. It runs on one event loop thread; the embedding program
+// handles signals.
 //
 //     auto gateway = DirectGateway::start(settings, format, makeStore);
 //     ... SIGTERM ...
@@ -25,43 +26,43 @@
     base::FailureDomain domain;
     base::Endpoint callers;
     base::Endpoint readiness;
-    // Datagrams and operators' HTTP of this gateway; other gateways reach it there.
+    // Address of this gateway for datagrams from other gateways and for operators' HTTP requests.
     base::Endpoint peers;
-    // The whole fleet starts for the first time: no planner was before.
+    // The fleet starts for the first time, so there was no planner before.
     bool firstStart = false;
-    // How long the planner's duty outlives its holder.
+    // Lease of the planner role: how long the role stays taken after its holder has died.
     base::Duration plannerLease = std::chrono::milliseconds(1500);
-    // Between the orders of two planners. None is needed where engines refuse orders with an older fence.
+    // Minimum delay between orders of successive planners. Zero if engines reject orders with an older fencing token.
     base::Duration plannerHandoverDelay {};
-    // A change in the store must be in force here within this time.
+    // A change in the store must take effect within this time.
     base::Duration changePropagationLimit = std::chrono::seconds(2);
     // From SIGTERM to SIGKILL.
     base::Duration terminationGrace = std::chrono::seconds(8);
-    // Sends beyond the first of each call, over all gateways and a window: a part of the calls, and a number more.
+    // Fleet-wide retry budget per time window: this fraction of the calls plus a fixed number.
     double retryRatio = 0.2;
     int64_t retrySlack = 50;
 };
 
-// How the store is watched where each answer of a watch is a call that is paid for.
+// How the store is watched if each answer to a watch is a billed request.
 struct WatchPollSettings {
-    // Of upstreams, which change often: between an answer and the next call, so that changes come together.
+    // For upstreams, which change often: delay between an answer and the next request, so that changes are batched.
     base::Duration pollDelay {};
-    // Of the desired state, which seldom changes: how long one call waits for a change. A connection that has gone silent is
-    // noticed a moment later.
+    // For the desired state, which seldom changes: how long one request waits for a change. A connection that has gone
+    // silent is detected shortly after this time.
     base::Duration longPollTimeout {};
 };
 
-// Makes the store's client.
+// Creates the client of the store.
 using StoreFactory = std::function<std::unique_ptr<base::KeyValueStore>(io::EventLoop&, http1::Client&, WatchPollSettings)>;
 
 class DirectGateway {
 public:
-    // Fails where an address cannot be bound.
+    // Fails if an address cannot be bound.
     static base::Result<std::unique_ptr<DirectGateway>> start(DirectGatewaySettings, std::shared_ptr<const WireFormat>, StoreFactory);
     virtual ~DirectGateway() = default;
-    // Not ready from now on; what runs and what still comes is served.
+    // Reports not ready from now on; running and new calls are still served.
     virtual void leave() = 0;
-    // Nothing runs any more, or the grace is nearly over.
+    // No call is running any more, or the termination grace period is nearly over.
     virtual bool drained() const = 0;
     virtual base::Endpoint callerEndpoint() const = 0;
 };
--- a/packages/direct/include/toucanstep/direct/Directory.h
+++ b/packages/direct/include/toucanstep/direct/Directory.h
@@ -1,8 +1,9 @@
-// This process's copy of what lies under one prefix in the platform's store.
+// A local replica of the keys under one prefix of the platform's store.
 //
-// One read of the keys, then one watch over them. Where the watch ends for want of history, or brings nothing for too
-// long, all is read anew, and what is missing then is gone. While the store cannot be reached the copy stays in use, and
-// a peer's newer copy may take its place. What lapsed while the store was away gets a moment to come back.
+// The keys are listed once and then watched. If the watch ends, because the store has compacted the history or the watch
+// was silent for too long, all keys are listed again, and those that are missing are removed. While the store is
+// unreachable the replica stays in use and may be updated from a peer's newer copy. Entries that expired during an outage
+// of the store are kept for a grace period so that their owners can write them again.
 
 #pragma once
 
@@ -24,32 +25,34 @@
     virtual ~DirectoryListener() = default;
     virtual void onEntry(const base::KeyValue&) = 0;
     virtual void onRemoved(const std::string& key) = 0;
-    // After each answer of the store, and after a peer's copy was taken.
+    // Called after each answer of the store and after a peer's copy was applied.
     virtual void onDirectoryUpdated() { }
 };
 
-// What a gateway gives a peer that cannot reach the store: all keys of the prefix, or what has changed since the peer's revision.
+// A copy for a peer that cannot reach the store: a full snapshot of the prefix, or a delta since the peer's revision.
 struct DirectoryCopy {
-    // Zero for a whole copy.
+    // Zero for a full snapshot.
     base::Revision since;
     base::Revision revision;
     std::vector<base::KeyValue> entries;
-    // Of a copy that is not whole: keys that went since.
+    // Keys that were removed since; only in a delta.
     std::vector<std::string> removed;
 };
 
 struct DirectorySettings {
-    // Of the keys. Empty: all keys.
+    // Prefix of the replicated keys; empty for all keys.
     std::string prefix;
-    // Keys with this prefix that vanish right after an outage of the store may have lapsed only because of it. Empty: none.
-    std::string lapsingPrefix;
-    // How long they are kept then. The users' platform brings living ones back within two seconds of its return.
-    base::Duration lapseGrace = std::chrono::milliseconds(1900);
-    // Without an answer for this long the store counts as having been away. Used where keys may lapse.
-    base::Duration outageAfter = std::chrono::milliseconds(1500);
-    // Between an error and the next attempt.
-    base::Duration retryPause = std::chrono::milliseconds(200);
-    // For all pages of a read. The store's client gives up sooner where nothing comes.
+    // Prefix of keys that expire unless their owners renew them, and may therefore vanish because of an outage of the store.
+    // Empty if there are none.
+    std::string leasedPrefix;
+    // How long such keys are kept after an outage. The platform writes the entries of live owners again within two seconds
+    // of its return.
+    base::Duration expiryGrace = std::chrono::milliseconds(1900);
+    // A gap between answers longer than this counts as an outage. Only used with leasedPrefix.
+    base::Duration outageThreshold = std::chrono::milliseconds(1500);
+    // Delay between an error and the next attempt.
+    base::Duration retryDelay = std::chrono::milliseconds(200);
+    // For all pages of a list request. The store's client fails sooner if no data arrives.
     base::Duration readTimeout = std::chrono::seconds(12);
 };
 
@@ -61,51 +64,52 @@
 
     base::Revision revision() const { return m_revision; }
     const std::map<std::string, base::KeyValue>& entries() const { return m_entries; }
-    // When the store last answered; nothing before its first answer.
+    // When the store last answered; empty before its first answer.
     std::optional<base::Instant> lastAnswer() const { return m_lastAnswer; }
     bool synced() const { return m_synced; }
-    // What has changed since that revision; all of it where that is not known any more.
+    // Returns a delta since that revision, or a full snapshot if the removal log does not reach back that far.
     DirectoryCopy copySince(base::Revision) const;
-    // Takes a peer's copy if it is newer than this one and fits to it. Returns whether it did.
-    bool adopt(const DirectoryCopy&);
+    // Applies a peer's copy if it is newer than the replica and, for a delta, starts no later than the replica's revision.
+    // Returns whether it was applied.
+    bool applyPeerCopy(const DirectoryCopy&);
 
 private:
     class Watcher;
     void readAll();
     void startWatch();
-    void onAll(base::Outcome<base::RangeReply>);
+    void onListResult(base::Outcome<base::RangeReply>);
     void replaceAll(const base::RangeReply&);
     void onEvents(std::vector<base::WatchEvent>, base::Revision);
     void onWatchEnd(const base::Error&);
     void put(const base::KeyValue&);
     void remove(const std::string& key, base::Revision);
-    void forget(const std::string& key);
-    void noteAnswer();
+    void eraseEntry(const std::string& key);
+    void recordAnswer();
     void retryLater();
-    void scheduleLapse();
+    void schedulePendingRemovals();
 
     io::EventLoop& m_loop;
     base::KeyValueStore& m_store;
     DirectorySettings m_settings;
     DirectoryListener& m_listener;
     std::map<std::string, base::KeyValue> m_entries;
-    // Keys that went, the latest last, and the revision from which on all of them are listed here.
-    std::deque<std::pair<base::Revision, std::string>> m_removals;
-    base::Revision m_removalsFrom;
-    // Keys that are missing in the store and kept for a moment, with the instant at which they go.
-    std::map<std::string, base::Instant> m_lapsing;
+    // Removed keys, oldest first, and the revision after which the log is complete.
+    std::deque<std::pair<base::Revision, std::string>> m_removalLog;
+    base::Revision m_removalLogStart;
+    // Keys that are gone from the store but kept for the grace period, and when that period ends.
+    std::map<std::string, base::Instant> m_pendingRemovals;
     base::Revision m_revision;
     bool m_synced = false;
-    // A peer's copy was taken since the last read of all keys.
-    bool m_adopted = false;
+    // A peer's copy was applied and has not yet been checked against the store.
+    bool m_peerCopyApplied = false;
     std::optional<base::Instant> m_lastAnswer;
-    // Removals before this instant may be due to an outage that has just ended.
-    base::Instant m_lapseUntil;
+    // Removals before this time may be a result of the outage that has just ended.
+    base::Instant m_expiryGraceEnd;
     std::shared_ptr<Watcher> m_watcher;
     std::unique_ptr<base::WatchHandle> m_watch;
     io::EventLoop::TimerId m_timer = 0;
-    io::EventLoop::TimerId m_lapseTimer = 0;
-    // Answers to calls that were given up are told from later ones by this number.
+    io::EventLoop::TimerId m_pendingRemovalTimer = 0;
+    // Identifies the latest list request, so that answers to abandoned ones are ignored.
     std::shared_ptr<uint64_t> m_generation = std::make_shared<uint64_t>(0);
 };
 
--- a/packages/direct/include/toucanstep/direct/FleetReports.h
+++ b/packages/direct/include/toucanstep/direct/FleetReports.h
@@ -1,5 +1,5 @@
-// What gateways tell one another, as datagrams: each report stands for itself and is replaced by the next one, so a lost
-// or repeated one does no harm.
+// Reports that gateways exchange as datagrams. Each report is self-contained and superseded by the next one, so loss and
+// duplication are harmless.
 
 #pragma once
 
@@ -19,21 +19,21 @@
 struct ReportSender {
     base::InstanceId instance;
     Incarnation incarnation;
-    // Grows with each report of one incarnation; an older one than the last is dropped.
+    // Increases with each report of one incarnation; receivers drop reports older than the last one.
     int64_t sequence = 0;
 };
 
 struct UpstreamUse {
     base::UpstreamId upstream;
-    // Calls of the sender.
+    // Only the sender's own calls.
     UpstreamLoad load;
 };
 
-// To all gateways, several times a second.
+// Sent to all gateways several times a second.
 struct LoadReport {
     ReportSender sender;
     ConfigurationVersion configuration;
-    // The store's revisions up to which the parts of the sender's copy of it reach.
+    // Store revision of each part of the sender's replica.
     std::vector<base::Revision> directories;
     bool leaving = false;
     std::vector<UpstreamUse> use;
@@ -45,19 +45,19 @@
     ModelTarget target;
     int64_t waiting = 0;
     int64_t running = 0;
-    // Calls that came in the last seconds, per thousand seconds.
+    // Arrival rate over the last seconds, in calls per thousand seconds.
     int64_t arrivalsPerKilosecond = 0;
-    // Calls at engines whose answers have not begun, averaged over the last second or two, in thousandths.
+    // Calls at engines without a first byte of the answer, averaged over the last second or two, in thousandths.
     int64_t awaitingThousandths = 0;
 };
 
-// To the planner.
+// Sent to the planner.
 struct DemandReport {
     ReportSender sender;
     std::vector<TargetDemand> demand;
 };
 
-// What the planner knows of an engine before the list shows it: a target was loaded, or is being taken away.
+// A target that was loaded or is being unloaded, known to the planner before the upstream list shows it.
 struct LoadedNotice {
     base::UpstreamId upstream;
     StartMark start;
@@ -65,13 +65,13 @@
     bool loaded = false;
 };
 
-// When a target that is loaded nowhere is expected to be; without an instant no engine can take it.
+// Expected time until a target that is loaded nowhere will be loaded. Targets that no engine can take have no entry.
 struct ExpectedLoad {
     ModelTarget target;
     base::Duration in {};
 };
 
-// From the planner to all gateways.
+// Sent by the planner to all gateways.
 struct PlanReport {
     ReportSender sender;
     base::Epoch fence;
@@ -82,7 +82,7 @@
 using FleetReport = std::variant<LoadReport, DemandReport, PlanReport>;
 
 std::string encodeReport(const FleetReport&);
-// Nothing for bytes that are not a report.
+// Returns nothing for malformed input.
 std::optional<FleetReport> decodeReport(std::string_view);
 
 } // namespace toucanstep::direct
--- a/packages/direct/include/toucanstep/direct/WireFormat.h
+++ b/packages/direct/include/toucanstep/direct/WireFormat.h
@@ -1,6 +1,7 @@
-// The names and formats of the platform on which a gateway runs, as the gateway needs them.
+// Interface to the names and data formats of the platform on which a gateway runs.
 //
-// An implementation translates and decides nothing. Bytes that cannot be read give nothing and a reason.
+// Implementations only translate between formats; they make no decisions. Malformed input yields an empty result and a
+// reason.
 
 #pragma once
 
@@ -16,7 +17,7 @@
 
 namespace toucanstep::direct {
 
-// A call of the gateway's own to an upstream.
+// A request that the gateway itself sends to an upstream.
 struct ControlRequest {
     std::string method;
     std::string target;
@@ -28,7 +29,7 @@
 public:
     virtual ~WireFormat() = default;
 
-    // The store's keys: the desired state's, and the prefix of the list of upstreams.
+    // Keys in the store: the key of the desired state, and the prefix of the upstream entries.
     virtual std::string_view desiredStateKey() const = 0;
     virtual std::string_view upstreamPrefix() const = 0;
     virtual std::string_view readinessTarget() const = 0;
@@ -37,7 +38,7 @@
     virtual std::optional<UpstreamDescription> readUpstream(std::string_view key, std::string_view value, std::string& reason) const = 0;
 
     virtual std::optional<CallerCall> readCall(const http1::RequestHead&, std::string& reason) const = 0;
-    // Headers that only the system sets: what a caller sends under these names goes nowhere.
+    // Headers that only the system may set; they are dropped from callers' requests.
     virtual bool isSystemHeader(std::string_view name) const = 0;
     virtual void appendForwardedHeaders(std::string& out, const ForwardedCall&) const = 0;
     virtual UpstreamVerdict readVerdict(const http1::ResponseHead&) const = 0;
--- a/packages/direct/src/DesiredState.cpp
+++ b/packages/direct/src/DesiredState.cpp
@@ -13,7 +13,7 @@
     return found == list.end() ? nullptr : &*found;
 }
 
-// A host is compared without its port, which only says how the caller reached the platform.
+// Hosts are compared without the port, which only depends on how the caller reached the platform.
 std::string_view withoutPort(std::string_view host)
 {
     return host.substr(0, host.find(':'));
--- a/packages/direct/src/DirectGateway.cpp
+++ b/packages/direct/src/DirectGateway.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// Owns the loop, and keeps the parts on its thread from their making to their end.
+// Owns the event loop, and creates, uses and destroys the core on the loop's thread.
 class ThreadedGateway final : public DirectGateway {
 public:
     ThreadedGateway()
--- a/packages/direct/src/Directory.cpp
+++ b/packages/direct/src/Directory.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-// Enough for the comings and goings of a few hundred upstreams and gateways in an outage.
-constexpr size_t keptRemovals = 2000;
+// Enough for the churn of a few hundred upstreams and gateways during an outage.
+constexpr size_t maxRemovalLogEntries = 2000;
 
 } // namespace
 
@@ -47,7 +47,7 @@
 {
     ++*m_generation;
     m_loop.cancel(m_timer);
-    m_loop.cancel(m_lapseTimer);
+    m_loop.cancel(m_pendingRemovalTimer);
     if (m_watcher)
         m_watcher->detach();
 }
@@ -62,18 +62,18 @@
     uint64_t generation = ++*m_generation;
     m_store.list(m_settings.prefix, m_loop.now() + m_settings.readTimeout, [this, generation, current = m_generation](base::Outcome<base::RangeReply> outcome) {
         if (*current == generation)
-            onAll(std::move(outcome));
+            onListResult(std::move(outcome));
     });
 }
 
-void Directory::onAll(base::Outcome<base::RangeReply> outcome)
+void Directory::onListResult(base::Outcome<base::RangeReply> outcome)
 {
     if (const auto* error = std::get_if<base::Error>(&outcome)) {
         base::LogLine("store_read_failed").add("prefix", m_settings.prefix).add("reason", error->message);
         retryLater();
         return;
     }
-    noteAnswer();
+    recordAnswer();
     replaceAll(std::get<base::RangeReply>(outcome));
     startWatch();
     m_listener.onDirectoryUpdated();
@@ -90,21 +90,21 @@
 
 DirectoryCopy Directory::copySince(base::Revision since) const
 {
-    bool whole = !since.value() || since < m_removalsFrom;
-    DirectoryCopy copy { whole ? base::Revision() : since, m_revision, {}, {} };
+    bool isSnapshot = !since.value() || since < m_removalLogStart;
+    DirectoryCopy copy { isSnapshot ? base::Revision() : since, m_revision, {}, {} };
     for (const auto& [key, entry] : m_entries) {
-        // What is only kept for a moment is missing in the store: the peer decides for itself how long it keeps it.
-        if (!m_lapsing.contains(key) && (whole || entry.modified > since))
+        // Entries in their grace period are gone from the store; the peer applies its own grace period.
+        if (!m_pendingRemovals.contains(key) && (isSnapshot || entry.modified > since))
             copy.entries.push_back(entry);
     }
-    for (const auto& [revision, key] : m_removals) {
-        if (!whole && revision > since && (!m_entries.contains(key) || m_lapsing.contains(key)))
+    for (const auto& [revision, key] : m_removalLog) {
+        if (!isSnapshot && revision > since && (!m_entries.contains(key) || m_pendingRemovals.contains(key)))
             copy.removed.push_back(key);
     }
     return copy;
 }
 
-bool Directory::adopt(const DirectoryCopy& copy)
+bool Directory::applyPeerCopy(const DirectoryCopy& copy)
 {
     if (copy.revision <= m_revision || copy.since > m_revision)
         return false;
@@ -117,15 +117,15 @@
     } else {
         replaceAll({ copy.entries, copy.revision });
     }
-    // The watch goes on as it was: begun anew with each copy, it would never get to ask the store.
-    m_adopted = true;
+    // Keep the watch: if each copy restarted it, it would wait its poll delay again and never query the store.
+    m_peerCopyApplied = true;
     m_listener.onDirectoryUpdated();
     return true;
 }
 
 void Directory::replaceAll(const base::RangeReply& reply)
 {
-    // A slow answer may be older than what was learnt meanwhile: nothing goes back.
+    // A slow answer may be older than the current state: never go back to an older revision.
     if (m_synced && reply.revision < m_revision)
         return;
     std::set<std::string> present;
@@ -135,7 +135,7 @@
         if (known == m_entries.end() || known->second.modified < entry.modified)
             put(entry);
         else
-            m_lapsing.erase(entry.key);
+            m_pendingRemovals.erase(entry.key);
     }
     std::vector<std::string> missing;
     for (const auto& [key, entry] : m_entries) {
@@ -145,15 +145,15 @@
     for (const auto& key : missing)
         remove(key, reply.revision);
     if (!m_synced)
-        m_removalsFrom = reply.revision;
+        m_removalLogStart = reply.revision;
     m_revision = reply.revision;
     m_synced = true;
 }
 
 void Directory::onEvents(std::vector<base::WatchEvent> events, base::Revision revision)
 {
-    noteAnswer();
-    // Of several changes of one key only the last counts: reading a desired state takes milliseconds of a slow core.
+    recordAnswer();
+    // Only apply the last change of each key, since parsing a desired state takes milliseconds on a slow core.
     std::map<std::string, size_t> last;
     for (size_t index = 0; index < events.size(); ++index)
         last[events[index].entry.key] = index;
@@ -168,8 +168,8 @@
     }
     m_revision = std::max(m_revision, revision);
     m_listener.onDirectoryUpdated();
-    // The store is back: what peers gave is checked once against all that it holds.
-    if (std::exchange(m_adopted, false))
+    // The store is reachable again: verify what peers supplied by one list of all keys.
+    if (std::exchange(m_peerCopyApplied, false))
         retryLater();
 }
 
@@ -185,15 +185,15 @@
 void Directory::retryLater()
 {
     m_loop.cancel(m_timer);
-    m_timer = m_loop.at(m_loop.now() + m_settings.retryPause, [this] { readAll(); });
+    m_timer = m_loop.at(m_loop.now() + m_settings.retryDelay, [this] { readAll(); });
 }
 
-void Directory::noteAnswer()
+void Directory::recordAnswer()
 {
     base::Instant now = m_loop.now();
-    if (!m_settings.lapsingPrefix.empty() && m_lastAnswer && now - *m_lastAnswer > m_settings.outageAfter) {
+    if (!m_settings.leasedPrefix.empty() && m_lastAnswer && now - *m_lastAnswer > m_settings.outageThreshold) {
         base::LogLine("store_regained").add("prefix", m_settings.prefix).add("away_ms", base::toMilliseconds(now - *m_lastAnswer));
-        m_lapseUntil = now + m_settings.lapseGrace;
+        m_expiryGraceEnd = now + m_settings.expiryGrace;
     }
     m_lastAnswer = now;
 }
@@ -201,11 +201,11 @@
 void Directory::put(const base::KeyValue& entry)
 {
     m_entries[entry.key] = entry;
-    m_lapsing.erase(entry.key);
+    m_pendingRemovals.erase(entry.key);
     m_listener.onEntry(entry);
 }
 
-void Directory::forget(const std::string& key)
+void Directory::eraseEntry(const std::string& key)
 {
     m_entries.erase(key);
     m_listener.onRemoved(key);
@@ -213,29 +213,29 @@
 
 void Directory::remove(const std::string& key, base::Revision revision)
 {
-    if (!m_entries.contains(key) || m_lapsing.contains(key))
+    if (!m_entries.contains(key) || m_pendingRemovals.contains(key))
         return;
-    m_removals.emplace_back(revision, key);
-    if (m_removals.size() > keptRemovals) {
-        m_removalsFrom = m_removals.front().first;
-        m_removals.pop_front();
+    m_removalLog.emplace_back(revision, key);
+    if (m_removalLog.size() > maxRemovalLogEntries) {
+        m_removalLogStart = m_removalLog.front().first;
+        m_removalLog.pop_front();
     }
-    if (m_loop.now() < m_lapseUntil && key.starts_with(m_settings.lapsingPrefix)) {
-        m_lapsing.emplace(key, m_lapseUntil);
-        scheduleLapse();
+    if (m_loop.now() < m_expiryGraceEnd && key.starts_with(m_settings.leasedPrefix)) {
+        m_pendingRemovals.emplace(key, m_expiryGraceEnd);
+        schedulePendingRemovals();
         return;
     }
-    forget(key);
+    eraseEntry(key);
 }
 
-void Directory::scheduleLapse()
+void Directory::schedulePendingRemovals()
 {
-    m_loop.cancel(m_lapseTimer);
-    m_lapseTimer = m_loop.at(m_lapseUntil, [this] {
-        auto lapsing = std::move(m_lapsing);
-        m_lapsing.clear();
-        for (const auto& [key, until] : lapsing)
-            forget(key);
+    m_loop.cancel(m_pendingRemovalTimer);
+    m_pendingRemovalTimer = m_loop.at(m_expiryGraceEnd, [this] {
+        auto expired = std::move(m_pendingRemovals);
+        m_pendingRemovals.clear();
+        for (const auto& [key, until] : expired)
+            eraseEntry(key);
     });
 }
 
--- a/packages/direct/src/DirectoryCodec.cpp
+++ b/packages/direct/src/DirectoryCodec.cpp
@@ -10,7 +10,7 @@
 
 using Json = nlohmann::json;
 
-// Copy, list of entries, entry, value.
+// Nesting: copy, list of entries, entry, value.
 constexpr int copyDepth = 4;
 
 base::Revision revisionOf(const Json& value)
--- a/packages/direct/src/DirectoryCodec.h
+++ b/packages/direct/src/DirectoryCodec.h
@@ -1,4 +1,4 @@
-// Copies of the store between gateways, as MessagePack.
+// MessagePack encoding of the store copies that gateways exchange.
 
 #pragma once
 
@@ -11,7 +11,7 @@
 namespace toucanstep::direct {
 
 std::string encodeCopy(const DirectoryCopy&);
-// Nothing for bytes that are not a copy.
+// Returns nothing for malformed input.
 std::optional<DirectoryCopy> decodeCopy(std::string_view);
 
 } // namespace toucanstep::direct
--- a/packages/direct/src/FleetReports.cpp
+++ b/packages/direct/src/FleetReports.cpp
@@ -10,7 +10,7 @@
 
 using Json = nlohmann::json;
 
-// Report, list of entries, entry, value.
+// Nesting: report, list of entries, entry, value.
 constexpr int reportDepth = 5;
 
 enum class ReportKind {
@@ -21,7 +21,7 @@
 
 int64_t inMilliseconds(base::Duration duration) { return base::toMilliseconds(duration); }
 
-Json head(ReportKind kind, const ReportSender& sender)
+Json encodeHeader(ReportKind kind, const ReportSender& sender)
 {
     return Json::array({ static_cast<int>(kind), sender.instance.value(), sender.incarnation.value(), sender.sequence });
 }
@@ -46,7 +46,7 @@
     Json stocks = Json::array();
     for (const auto& known : report.limits.stocks)
         stocks.push_back({ known.account.value(), known.stock.value() });
-    return Json::array({ head(ReportKind::Load, report.sender), report.configuration.value(), directories, report.leaving, use, charges, strikes, unheard, report.limits.heardDigest, stocks });
+    return Json::array({ encodeHeader(ReportKind::Load, report.sender), report.configuration.value(), directories, report.leaving, use, charges, strikes, unheard, report.limits.heardDigest, stocks });
 }
 
 Json encode(const DemandReport& report)
@@ -54,7 +54,7 @@
     Json demand = Json::array();
     for (const auto& entry : report.demand)
         demand.push_back({ entry.target.model.value(), entry.target.adapter.value(), entry.waiting, entry.running, entry.arrivalsPerKilosecond, entry.awaitingThousandths });
-    return Json::array({ head(ReportKind::Demand, report.sender), demand });
+    return Json::array({ encodeHeader(ReportKind::Demand, report.sender), demand });
 }
 
 Json encode(const PlanReport& report)
@@ -65,57 +65,57 @@
     Json expected = Json::array();
     for (const auto& load : report.expected)
         expected.push_back({ load.target.model.value(), load.target.adapter.value(), inMilliseconds(load.in) });
-    return Json::array({ head(ReportKind::Plan, report.sender), report.fence.value(), notices, expected });
+    return Json::array({ encodeHeader(ReportKind::Plan, report.sender), report.fence.value(), notices, expected });
 }
 
-// The library throws on values of another type; decodeReport() turns that into nothing. It would convert a fraction, and
-// one that does not fit has no value as a whole number.
-int64_t whole(const Json& value)
+// The JSON library throws on values of another type, which decodeReport() turns into an empty result. However, it converts
+// floating-point numbers to integers silently, which is undefined behavior for values out of range.
+int64_t asInteger(const Json& value)
 {
     if (!value.is_number_integer())
-        throw std::invalid_argument("not a whole number");
+        throw std::invalid_argument("not an integer");
     return value.get<int64_t>();
 }
 
-base::Duration span(const Json& value)
+base::Duration asDuration(const Json& value)
 {
-    // No time between gateways is longer than a day; far more would not fit into nanoseconds.
+    // Reported durations never exceed a day; much larger values would overflow in nanoseconds.
     constexpr int64_t longest = 24 * 3600 * 1000;
-    int64_t milliseconds = whole(value);
+    int64_t milliseconds = asInteger(value);
     if (milliseconds < 0 || milliseconds > longest)
-        throw std::invalid_argument("not a time that a gateway reports");
+        throw std::invalid_argument("duration out of range");
     return std::chrono::milliseconds(milliseconds);
 }
 
 template <typename Strong>
-Strong number(const Json& value) { return Strong(whole(value)); }
+Strong asNumber(const Json& value) { return Strong(asInteger(value)); }
 template <typename Strong>
-Strong text(const Json& value) { return Strong(value.get<std::string>()); }
+Strong asText(const Json& value) { return Strong(value.get<std::string>()); }
 
-ModelTarget target(const Json& model, const Json& adapter)
+ModelTarget asTarget(const Json& model, const Json& adapter)
 {
-    return { text<base::ModelId>(model), text<AdapterId>(adapter) };
+    return { asText<base::ModelId>(model), asText<AdapterId>(adapter) };
 }
 
 LoadReport decodeLoad(const Json& value, ReportSender sender)
 {
-    LoadReport report { std::move(sender), number<ConfigurationVersion>(value.at(1)), {}, value.at(3).get<bool>(), {}, {}, {} };
+    LoadReport report { std::move(sender), asNumber<ConfigurationVersion>(value.at(1)), {}, value.at(3).get<bool>(), {}, {}, {} };
     report.limits.incarnation = report.sender.incarnation;
     for (const Json& revision : value.at(2))
-        report.directories.push_back(number<base::Revision>(revision));
+        report.directories.push_back(asNumber<base::Revision>(revision));
     for (const Json& entry : value.at(4))
-        report.use.push_back({ text<base::UpstreamId>(entry.at(0)), { whole(entry.at(1)), whole(entry.at(2)) } });
+        report.use.push_back({ asText<base::UpstreamId>(entry.at(0)), { asInteger(entry.at(1)), asInteger(entry.at(2)) } });
     for (const Json& entry : value.at(5))
-        report.limits.charges.push_back({ text<base::ClientAccountId>(entry.at(0)), number<base::Tokens>(entry.at(1)) });
+        report.limits.charges.push_back({ asText<base::ClientAccountId>(entry.at(0)), asNumber<base::Tokens>(entry.at(1)) });
     for (const Json& entry : value.at(6)) {
-        report.strikes.push_back({ text<routing::RequestFingerprint>(entry.at(0)), text<routing::CrashId>(entry.at(1)),
-            span(entry.at(2)) });
+        report.strikes.push_back({ asText<routing::RequestFingerprint>(entry.at(0)), asText<routing::CrashId>(entry.at(1)),
+            asDuration(entry.at(2)) });
     }
     for (const Json& entry : value.at(7))
-        report.limits.unheard.push_back(text<base::InstanceId>(entry));
-    report.limits.heardDigest = whole(value.at(8));
+        report.limits.unheard.push_back(asText<base::InstanceId>(entry));
+    report.limits.heardDigest = asInteger(value.at(8));
     for (const Json& entry : value.at(9))
-        report.limits.stocks.push_back({ text<base::ClientAccountId>(entry.at(0)), number<base::Tokens>(entry.at(1)) });
+        report.limits.stocks.push_back({ asText<base::ClientAccountId>(entry.at(0)), asNumber<base::Tokens>(entry.at(1)) });
     return report;
 }
 
@@ -123,27 +123,27 @@
 {
     DemandReport report { std::move(sender), {} };
     for (const Json& entry : value.at(1)) {
-        report.demand.push_back({ target(entry.at(0), entry.at(1)), whole(entry.at(2)), whole(entry.at(3)), whole(entry.at(4)), whole(entry.at(5)) });
+        report.demand.push_back({ asTarget(entry.at(0), entry.at(1)), asInteger(entry.at(2)), asInteger(entry.at(3)), asInteger(entry.at(4)), asInteger(entry.at(5)) });
     }
     return report;
 }
 
 PlanReport decodePlan(const Json& value, ReportSender sender)
 {
-    PlanReport report { std::move(sender), number<base::Epoch>(value.at(1)), {}, {} };
+    PlanReport report { std::move(sender), asNumber<base::Epoch>(value.at(1)), {}, {} };
     for (const Json& entry : value.at(2)) {
-        report.notices.push_back({ text<base::UpstreamId>(entry.at(0)), number<StartMark>(entry.at(1)), target(entry.at(2), entry.at(3)), entry.at(4).get<bool>() });
+        report.notices.push_back({ asText<base::UpstreamId>(entry.at(0)), asNumber<StartMark>(entry.at(1)), asTarget(entry.at(2), entry.at(3)), entry.at(4).get<bool>() });
     }
     for (const Json& entry : value.at(3))
-        report.expected.push_back({ target(entry.at(0), entry.at(1)), span(entry.at(2)) });
+        report.expected.push_back({ asTarget(entry.at(0), entry.at(1)), asDuration(entry.at(2)) });
     return report;
 }
 
 FleetReport decode(const Json& value)
 {
-    const Json& first = value.at(0);
-    ReportSender sender { text<base::InstanceId>(first.at(1)), number<Incarnation>(first.at(2)), whole(first.at(3)) };
-    switch (static_cast<ReportKind>(whole(first.at(0)))) {
+    const Json& header = value.at(0);
+    ReportSender sender { asText<base::InstanceId>(header.at(1)), asNumber<Incarnation>(header.at(2)), asInteger(header.at(3)) };
+    switch (static_cast<ReportKind>(asInteger(header.at(0)))) {
     case ReportKind::Load:
         return decodeLoad(value, std::move(sender));
     case ReportKind::Demand:
@@ -151,7 +151,7 @@
     case ReportKind::Plan:
         return decodePlan(value, std::move(sender));
     }
-    throw std::invalid_argument("unknown kind of report");
+    throw std::invalid_argument("unknown report kind");
 }
 
 } // namespace
--- a/packages/direct/src/FleetLink.cpp
+++ b/packages/direct/src/FleetTransport.cpp
@@ -1,4 +1,4 @@
-#include "FleetLink.h"
+#include "FleetTransport.h"
 
 #include "toucanstep/base/LogLine.h"
 
@@ -10,9 +10,9 @@
 
 namespace {
 
-constexpr size_t largestDatagram = 64 * 1024;
-// One wake-up reads at most so many, so that a flood of datagrams leaves time for calls.
-constexpr int datagramsAtOnce = 32;
+constexpr size_t maxDatagramBytes = 64 * 1024;
+// Limits the work per wakeup, so that a flood of datagrams does not starve calls.
+constexpr int maxDatagramsPerWakeup = 32;
 
 const ReportSender& senderOf(const FleetReport& report)
 {
@@ -21,13 +21,13 @@
 
 } // namespace
 
-base::Result<std::unique_ptr<FleetLink>> FleetLink::open(io::EventLoop& loop, const base::Endpoint& endpoint, Handler handler)
+base::Result<std::unique_ptr<FleetTransport>> FleetTransport::open(io::EventLoop& loop, const base::Endpoint& endpoint, Handler handler)
 {
     BOOST_LEAF_AUTO(socket, io::bindDatagrams(endpoint));
-    return std::unique_ptr<FleetLink>(new FleetLink(loop, std::move(socket), std::move(handler)));
+    return std::unique_ptr<FleetTransport>(new FleetTransport(loop, std::move(socket), std::move(handler)));
 }
 
-FleetLink::FleetLink(io::EventLoop& loop, io::Socket socket, Handler handler)
+FleetTransport::FleetTransport(io::EventLoop& loop, io::Socket socket, Handler handler)
     : m_loop(loop)
     , m_socket(std::move(socket))
     , m_handler(std::move(handler))
@@ -35,12 +35,12 @@
     m_loop.watch(m_socket.descriptor(), EPOLLIN, [this](uint32_t) { receive(); });
 }
 
-FleetLink::~FleetLink()
+FleetTransport::~FleetTransport()
 {
     m_loop.unwatch(m_socket.descriptor());
 }
 
-void FleetLink::sendToAll(const FleetReport& report)
+void FleetTransport::sendToAll(const FleetReport& report)
 {
     if (m_peers.empty())
         return;
@@ -49,29 +49,29 @@
         io::sendDatagram(m_socket, endpoint, bytes);
 }
 
-void FleetLink::sendTo(const base::InstanceId& id, const FleetReport& report)
+void FleetTransport::sendTo(const base::InstanceId& id, const FleetReport& report)
 {
     auto peer = m_peers.find(id);
     if (peer != m_peers.end())
         io::sendDatagram(m_socket, peer->second, encodeReport(report));
 }
 
-void FleetLink::receive()
+void FleetTransport::receive()
 {
-    static std::array<char, largestDatagram> buffer;
-    for (int count = 0; count < datagramsAtOnce; ++count) {
-        ssize_t got = recv(m_socket.descriptor(), buffer.data(), buffer.size(), 0);
-        if (got < 0)
+    static std::array<char, maxDatagramBytes> buffer;
+    for (int count = 0; count < maxDatagramsPerWakeup; ++count) {
+        ssize_t received = recv(m_socket.descriptor(), buffer.data(), buffer.size(), 0);
+        if (received < 0)
             return;
-        auto report = decodeReport(std::string_view(buffer.data(), static_cast<size_t>(got)));
+        auto report = decodeReport(std::string_view(buffer.data(), static_cast<size_t>(received)));
         if (!report || !m_peers.contains(senderOf(*report).instance)) {
             ++m_dropped;
             continue;
         }
         const ReportSender& sender = senderOf(*report);
-        auto& last = m_last[{ sender.instance, report->index() }];
+        auto& last = m_lastReceived[{ sender.instance, report->index() }];
         std::pair order(sender.incarnation, sender.sequence);
-        // Datagrams may overtake each other: only the newest counts.
+        // Datagrams may be reordered: drop all but the newest.
         if (order <= last)
             continue;
         last = order;
--- a/packages/direct/src/FleetLink.h
+++ b/packages/direct/src/FleetTransport.h
@@ -1,4 +1,4 @@
-// Datagrams between the gateways: reports go to every other gateway that the directory lists, and come from these only.
+// Exchanges reports between gateways as datagrams. Reports from senders that are not in the peer list are dropped.
 
 #pragma once
 
@@ -12,11 +12,11 @@
 
 namespace toucanstep::direct {
 
-class FleetLink {
+class FleetTransport {
 public:
     using Handler = std::function<void(const FleetReport&)>;
-    static base::Result<std::unique_ptr<FleetLink>> open(io::EventLoop&, const base::Endpoint&, Handler);
-    ~FleetLink();
+    static base::Result<std::unique_ptr<FleetTransport>> open(io::EventLoop&, const base::Endpoint&, Handler);
+    ~FleetTransport();
 
     void setPeers(std::map<base::InstanceId, base::Endpoint> peers) { m_peers = std::move(peers); }
     const std::map<base::InstanceId, base::Endpoint>& peers() const { return m_peers; }
@@ -25,15 +25,15 @@
     int64_t dropped() const { return m_dropped; }
 
 private:
-    FleetLink(io::EventLoop&, io::Socket, Handler);
+    FleetTransport(io::EventLoop&, io::Socket, Handler);
     void receive();
 
     io::EventLoop& m_loop;
     io::Socket m_socket;
     Handler m_handler;
     std::map<base::InstanceId, base::Endpoint> m_peers;
-    // The last report of each kind (by its place in FleetReport) and sender.
-    std::map<std::pair<base::InstanceId, size_t>, std::pair<Incarnation, int64_t>> m_last;
+    // Incarnation and sequence of the last report per sender and kind (index in FleetReport).
+    std::map<std::pair<base::InstanceId, size_t>, std::pair<Incarnation, int64_t>> m_lastReceived;
     int64_t m_dropped = 0;
 };
 
--- a/packages/direct/src/GatewayCore.cpp
+++ b/packages/direct/src/GatewayCore.cpp
@@ -11,29 +11,29 @@
 
 namespace {
 
-// Reports to the peers: as often as limits over the fleet need (see AccountLimitsSettings::peerSilence).
-constexpr auto beatInterval = std::chrono::milliseconds(100);
-// What one event sets off waits this long for others that belong to it.
-constexpr auto soonDelay = std::chrono::milliseconds(3);
+// Also the interval of load reports, on which fleet-wide limits depend (see AccountLimitsSettings::peerSilence).
+constexpr auto tickInterval = std::chrono::milliseconds(100);
+// Related events within this time trigger one run of a task.
+constexpr auto coalescingDelay = std::chrono::milliseconds(3);
 constexpr auto demandInterval = std::chrono::milliseconds(200);
 constexpr auto planReportInterval = std::chrono::milliseconds(300);
 constexpr auto sweepInterval = std::chrono::seconds(1);
-// A peer's report counts for this long.
-constexpr auto reportLife = std::chrono::milliseconds(1500);
-// A notice of the planner is repeated more often than this.
-constexpr auto noticeLife = std::chrono::milliseconds(2000);
-// Of the time within which a change must be in force: a first call that fails leaves time for a second one.
-constexpr int watchPausePercent = 38;
-// A connection to the store that has gone silent is left within the time for a change: a call waits so much less.
+// Older reports of a peer are ignored.
+constexpr auto reportLifetime = std::chrono::milliseconds(1500);
+// Must exceed planReportInterval, at which the planner repeats its notices.
+constexpr auto noticeLifetime = std::chrono::milliseconds(2000);
+// Poll delay as a percentage of the propagation limit; leaves time for a second request if the first one fails.
+constexpr int pollDelayPercent = 38;
+// A long poll is this much shorter than the propagation limit, so that a silent connection is abandoned within the limit.
 constexpr auto silentConnectionMargin = std::chrono::milliseconds(500);
-// Without an answer of the store for this long beyond a watch's pause, a peer that reads it is asked for its copy.
-constexpr auto storeSilence = std::chrono::milliseconds(900);
-// And for this long it counts as having been away, so that what lapsed meanwhile gets a moment to come back.
-constexpr auto storeOutage = std::chrono::milliseconds(1500);
-// After SIGTERM the balancer needs two missed questions, a second apart, before it sends no new connections.
-constexpr auto balancerNotices = std::chrono::milliseconds(2600);
-// What runs at this time before SIGKILL is ended by the process itself, with an answer where one can be given.
-constexpr auto stopMargin = std::chrono::milliseconds(700);
+// Time without data from the store, beyond the poll delay, after which peers are asked for copies.
+constexpr auto storeSilenceThreshold = std::chrono::milliseconds(900);
+// Time without an answer, beyond the poll delay, that counts as an outage, so that expired entries get a grace period.
+constexpr auto storeOutageThreshold = std::chrono::milliseconds(1500);
+// After SIGTERM the load balancer sends new connections until two health checks, one second apart, have failed.
+constexpr auto balancerNoticeDelay = std::chrono::milliseconds(2600);
+// The process ends the remaining calls itself this long before SIGKILL, with a response where that is possible.
+constexpr auto terminationMargin = std::chrono::milliseconds(700);
 
 constexpr std::string_view metricsTarget = "/metrics";
 constexpr std::string_view statusTarget = "/status";
@@ -47,36 +47,36 @@
 
 CallDeskSettings callSettings(const DirectGatewaySettings& settings)
 {
-    // Each gateway spends a part of the fleet's budget on its own, with no word from the others. Four fifths of the
-    // ratio leave room for sends that count as repeats although this gateway did not mean them so.
-    constexpr double usedPart = 0.8;
-    constexpr int64_t gatewaysAtLeast = 4;
+    // Each gateway spends its part of the fleet's retry budget without coordination. Using four fifths of the ratio leaves
+    // room for requests that count as retries although this gateway did not intend them as such.
+    constexpr double budgetFraction = 0.8;
+    constexpr int64_t minGateways = 4;
     CallDeskSettings calls;
     calls.domain = settings.domain;
-    calls.retryPercent = static_cast<int64_t>(settings.retryRatio * usedPart * 100);
-    calls.retryReserve = std::max<int64_t>(1, settings.retrySlack / 2 / gatewaysAtLeast);
+    calls.retryPercent = static_cast<int64_t>(settings.retryRatio * budgetFraction * 100);
+    calls.retryReserve = std::max<int64_t>(1, settings.retrySlack / 2 / minGateways);
     return calls;
 }
 
-base::Duration watchPause(const DirectGatewaySettings& settings)
+base::Duration watchPollDelay(const DirectGatewaySettings& settings)
 {
-    return settings.changePropagationLimit * watchPausePercent / 100;
+    return settings.changePropagationLimit * pollDelayPercent / 100;
 }
 
 WatchPollSettings watchPollSettings(const DirectGatewaySettings& settings)
 {
-    base::Duration pause = watchPause(settings);
-    return { pause, std::max(pause, settings.changePropagationLimit - silentConnectionMargin) };
+    base::Duration pollDelay = watchPollDelay(settings);
+    return { pollDelay, std::max(pollDelay, settings.changePropagationLimit - silentConnectionMargin) };
 }
 
 StoreMirrorSettings mirrorSettings(const DirectGatewaySettings& settings, const WireFormat& format)
 {
     StoreMirrorSettings mirror;
-    mirror.textPrefix = format.desiredStateKey();
+    mirror.desiredStatePrefix = format.desiredStateKey();
     mirror.upstreamPrefix = format.upstreamPrefix();
     mirror.fleetPrefix = fleetPrefix;
-    mirror.outageAfter = watchPause(settings) + storeOutage;
-    mirror.silence = watchPause(settings) + storeSilence;
+    mirror.outageThreshold = watchPollDelay(settings) + storeOutageThreshold;
+    mirror.silenceThreshold = watchPollDelay(settings) + storeSilenceThreshold;
     return mirror;
 }
 
@@ -99,8 +99,8 @@
         if (target == m_core.m_format->readinessTarget()) {
             head.status = m_core.ready() ? ok : unavailable;
             exchange->answer(std::move(head), m_core.ready() ? "ready\n" : "not ready\n");
-        } else if (StoreMirror::asksForCopy(target)) {
-            auto copy = m_core.m_mirror.copyFor(target);
+        } else if (StoreMirror::isCopyRequest(target)) {
+            auto copy = m_core.m_mirror.copyResponse(target);
             head.status = copy ? ok : notFound;
             exchange->answer(std::move(head), copy.value_or(""));
         } else if (target == metricsTarget) {
@@ -126,10 +126,10 @@
     , m_store(makeStore(loop, m_storeClient, watchPollSettings(m_settings)))
     , m_calls(loop, m_client, *m_format, m_metrics, callSettings(m_settings))
     , m_orders(
-          loop, m_client, *m_format, m_settings.instance.value(), [this] { m_duty.lose("an engine has met a newer fence"); }, [this] { soon(m_tellTimer, &GatewayCore::tellPlanNow); soon(m_planTimer, &GatewayCore::planNow); })
+          loop, m_client, *m_format, m_settings.instance.value(), [this] { m_election.lose("an engine has seen a newer fencing token"); }, [this] { scheduleCoalesced(m_planReportTimer, &GatewayCore::sendPlanNow); scheduleCoalesced(m_planTimer, &GatewayCore::planNow); })
     , m_planner(PlacementSettings {})
     , m_mirror(loop, *m_store, m_client, mirrorSettings(m_settings, *m_format), *this)
-    , m_duty(loop, *m_store, m_mirror.part(StorePart::Fleet), m_settings, [this] { onDutyTaken(); })
+    , m_election(loop, *m_store, m_mirror.part(StorePart::Fleet), m_settings, [this] { onBecamePlanner(); })
     , m_operatorHandler(std::make_unique<OperatorHandler>(*this))
     , m_incarnation(wallMilliseconds())
 {
@@ -138,38 +138,38 @@
 
 GatewayCore::~GatewayCore()
 {
-    for (auto timer : { m_beatTimer, m_demandTimer, m_planTimer, m_tellTimer })
+    for (auto timer : { m_tickTimer, m_demandTimer, m_planTimer, m_planReportTimer })
         m_loop.cancel(timer);
     m_calls.cutOffAll();
 }
 
 base::Result<void> GatewayCore::start()
 {
-    BOOST_LEAF_ASSIGN(m_callers, http1::Server::listen(m_loop, m_settings.callers, m_calls));
-    BOOST_LEAF_ASSIGN(m_readiness, http1::Server::listen(m_loop, m_settings.readiness, *m_operatorHandler));
-    BOOST_LEAF_ASSIGN(m_operators, http1::Server::listen(m_loop, m_settings.peers, *m_operatorHandler));
-    BOOST_LEAF_ASSIGN(m_link, FleetLink::open(m_loop, m_operators->endpoint(), [this](const FleetReport& report) { onReport(report); }));
-    m_calls.onTargetMissing([this] { soon(m_demandTimer, &GatewayCore::demandNow); });
+    BOOST_LEAF_ASSIGN(m_callerServer, http1::Server::listen(m_loop, m_settings.callers, m_calls));
+    BOOST_LEAF_ASSIGN(m_readinessServer, http1::Server::listen(m_loop, m_settings.readiness, *m_operatorHandler));
+    BOOST_LEAF_ASSIGN(m_operatorServer, http1::Server::listen(m_loop, m_settings.peers, *m_operatorHandler));
+    BOOST_LEAF_ASSIGN(m_transport, FleetTransport::open(m_loop, m_operatorServer->endpoint(), [this](const FleetReport& report) { onReport(report); }));
+    m_calls.onTargetMissing([this] { scheduleCoalesced(m_demandTimer, &GatewayCore::sendDemandNow); });
     m_mirror.start();
-    beat();
+    tick();
     return {};
 }
 
 bool GatewayCore::ready() const
 {
-    return m_mirror.known() && m_calls.desiredState() && !m_leavingSince;
+    return m_mirror.synced() && m_calls.desiredState() && !m_leavingSince;
 }
 
-void GatewayCore::beat()
+void GatewayCore::tick()
 {
     base::Instant now = m_loop.now();
-    m_duty.beat();
+    m_election.beat();
     setPeersLoad();
     sendLoadReport();
     m_calls.tick();
-    if (m_duty.duty().mayOrder(now))
+    if (m_election.duty().mayOrder(now))
         plan();
-    else if (holdsDuty())
+    else if (isPlanner())
         readEngines();
     sendDemand();
     sendPlan();
@@ -182,27 +182,27 @@
     }
     if (m_leavingSince) {
         base::Duration since = now - *m_leavingSince;
-        bool quiet = since > balancerNotices && !m_calls.running();
-        m_drained = quiet || since > m_settings.terminationGrace - stopMargin;
-        if (since > balancerNotices)
-            m_callers->stop();
+        bool idle = since > balancerNoticeDelay && !m_calls.running();
+        m_drained = idle || since > m_settings.terminationGrace - terminationMargin;
+        if (since > balancerNoticeDelay)
+            m_callerServer->stop();
     }
-    m_beatTimer = m_loop.at(now + beatInterval, [this] { beat(); });
+    m_tickTimer = m_loop.at(now + tickInterval, [this] { tick(); });
 }
 
-void GatewayCore::soon(io::EventLoop::TimerId& timer, void (GatewayCore::*task)())
+void GatewayCore::scheduleCoalesced(io::EventLoop::TimerId& timer, void (GatewayCore::*task)())
 {
     if (timer)
         return;
-    timer = m_loop.at(m_loop.now() + soonDelay, [this, &timer, task] {
+    timer = m_loop.at(m_loop.now() + coalescingDelay, [this, &timer, task] {
         timer = 0;
         (this->*task)();
     });
 }
 
-void GatewayCore::demandNow()
+void GatewayCore::sendDemandNow()
 {
-    if (holdsDuty()) {
+    if (isPlanner()) {
         planNow();
         return;
     }
@@ -212,11 +212,11 @@
 
 void GatewayCore::planNow()
 {
-    if (m_duty.duty().mayOrder(m_loop.now()))
+    if (m_election.duty().mayOrder(m_loop.now()))
         plan();
 }
 
-void GatewayCore::tellPlanNow()
+void GatewayCore::sendPlanNow()
 {
     m_nextPlanReport = {};
     sendPlan();
@@ -228,11 +228,11 @@
         return;
     base::LogLine("leaving").add("running", m_calls.running());
     m_leavingSince = m_loop.now();
-    m_callers->closeAfterAnswers();
-    m_duty.leave();
+    m_callerServer->closeAfterAnswers();
+    m_election.leave();
 }
 
-// ---- the directory
+// ---- store updates
 
 void GatewayCore::onEntry(const base::KeyValue& entry)
 {
@@ -261,7 +261,7 @@
 {
     if (auto answered = m_mirror.lastAnswer())
         m_calls.noteStore(*answered);
-    if (auto planner = m_duty.onDirectoryUpdated())
+    if (auto planner = m_election.onDirectoryUpdated())
         m_plannerPeer = planner;
     m_calls.wakeWaiting();
 }
@@ -288,7 +288,7 @@
     bounds.bodyBytes = state->callers.bodyBytes;
     bounds.requestTimeout = state->callers.headTimeout;
     bounds.idleTimeout = state->callers.idleTimeout;
-    m_callers->setBounds(bounds);
+    m_callerServer->setBounds(bounds);
     m_calls.setDesiredState(std::move(state));
 }
 
@@ -322,29 +322,29 @@
         peers.emplace(id, *endpoint);
         ids.insert(id);
     }
-    // A peer whose key lapsed with its lease still reports while it is only cut off from the store.
+    // A peer that has only lost contact with the store still sends reports although its key has expired with its lease.
     for (const auto& [id, state] : m_peers) {
-        auto known = m_link->peers().find(id);
-        if (!peers.contains(id) && known != m_link->peers().end() && m_loop.now() - state.heard < reportLife)
+        auto known = m_transport->peers().find(id);
+        if (!peers.contains(id) && known != m_transport->peers().end() && m_loop.now() - state.receivedAt < reportLifetime)
             peers.emplace(id, known->second);
     }
-    m_link->setPeers(std::move(peers));
+    m_transport->setPeers(std::move(peers));
     m_calls.limits().setPeers(ids, m_loop.now());
 }
 
 std::vector<CopySource> GatewayCore::copySources() const
 {
     std::vector<CopySource> sources;
-    size_t namesBefore = 0;
+    size_t peersBefore = 0;
     for (const auto& [id, state] : m_peers) {
-        auto endpoint = m_link->peers().find(id);
-        if (m_loop.now() - state.heard > reportLife || endpoint == m_link->peers().end())
+        auto endpoint = m_transport->peers().find(id);
+        if (m_loop.now() - state.receivedAt > reportLifetime || endpoint == m_transport->peers().end())
             continue;
         sources.push_back({ { id.value(), endpoint->second }, state.load.directories });
         if (id < m_settings.instance)
-            ++namesBefore;
+            ++peersBefore;
     }
-    std::rotate(sources.begin(), sources.begin() + static_cast<ptrdiff_t>(namesBefore), sources.end());
+    std::rotate(sources.begin(), sources.begin() + static_cast<ptrdiff_t>(peersBefore), sources.end());
     return sources;
 }
 
@@ -369,26 +369,26 @@
     }
     report.limits = m_calls.limits().report(m_incarnation, m_loop.now());
     report.strikes = m_calls.recentStrikes();
-    m_link->sendToAll(report);
+    m_transport->sendToAll(report);
 }
 
 void GatewayCore::sendDemand()
 {
     base::Instant now = m_loop.now();
-    if (now < m_nextDemand || !m_plannerPeer || holdsDuty())
+    if (now < m_nextDemand || !m_plannerPeer || isPlanner())
         return;
     m_nextDemand = now + demandInterval;
-    m_link->sendTo(*m_plannerPeer, DemandReport { nextSender(), m_calls.demand().summary(now) });
+    m_transport->sendTo(*m_plannerPeer, DemandReport { nextSender(), m_calls.demand().summary(now) });
 }
 
 void GatewayCore::sendPlan()
 {
     base::Instant now = m_loop.now();
-    if (!holdsDuty() || now < m_nextPlanReport)
+    if (!isPlanner() || now < m_nextPlanReport)
         return;
     m_nextPlanReport = now + planReportInterval;
-    PlanReport report { nextSender(), m_duty.duty().fence(), m_orders.notices(), m_expected };
-    m_link->sendToAll(report);
+    PlanReport report { nextSender(), m_election.duty().fence(), m_orders.notices(), m_expectedLoads };
+    m_transport->sendToAll(report);
     onPlanReport(report);
 }
 
@@ -406,8 +406,8 @@
 {
     m_peerDemand[report.sender.instance] = { m_loop.now(), report.demand };
     bool anyWaits = std::any_of(report.demand.begin(), report.demand.end(), [](const TargetDemand& demand) { return demand.waiting > 0; });
-    if (anyWaits && holdsDuty())
-        soon(m_planTimer, &GatewayCore::planNow);
+    if (anyWaits && isPlanner())
+        scheduleCoalesced(m_planTimer, &GatewayCore::planNow);
 }
 
 void GatewayCore::onLoadReport(const LoadReport& report)
@@ -424,7 +424,7 @@
 {
     std::map<base::UpstreamId, UpstreamLoad> loads;
     for (const auto& [id, state] : m_peers) {
-        if (m_loop.now() - state.heard > reportLife)
+        if (m_loop.now() - state.receivedAt > reportLifetime)
             continue;
         for (const auto& use : state.load.use) {
             loads[use.upstream].inFlight += use.load.inFlight;
@@ -441,10 +441,10 @@
     m_planFence = report.fence;
     if (report.sender.instance != m_settings.instance) {
         m_plannerPeer = report.sender.instance;
-        if (holdsDuty() && report.fence > m_duty.duty().fence())
-            m_duty.lose("another gateway plans with a newer fence");
+        if (isPlanner() && report.fence > m_election.duty().fence())
+            m_election.lose("another gateway is planning with a newer fencing token");
     }
-    base::Instant until = m_loop.now() + noticeLife;
+    base::Instant until = m_loop.now() + noticeLifetime;
     for (const auto& notice : report.notices)
         m_calls.upstreams().notice(notice, until);
     m_calls.setExpectedLoads(report.expected);
@@ -452,15 +452,15 @@
     m_calls.wakeWaiting();
 }
 
-// ---- the planner's duty
+// ---- planner role
 
-void GatewayCore::onDutyTaken()
+void GatewayCore::onBecamePlanner()
 {
-    m_orders.begin(m_duty.duty().fence());
+    m_orders.begin(m_election.duty().fence());
     m_plannerPeer.reset();
 }
 
-// A new holder of the duty knows the engines' state by the time at which it may give orders.
+// A new planner starts reading the engines' state at once, so that it is known when orders are first allowed.
 void GatewayCore::readEngines()
 {
     auto state = m_calls.desiredState();
@@ -480,7 +480,7 @@
     if (!state)
         return;
     base::Instant now = m_loop.now();
-    m_duty.settle();
+    m_election.settle();
     m_orders.tick(now);
     std::map<ModelTarget, TargetDemand> demand;
     auto add = [&](const std::vector<TargetDemand>& entries) {
@@ -495,10 +495,10 @@
     };
     add(m_calls.demand().summary(now));
     for (const auto& [id, reported] : m_peerDemand) {
-        if (now - reported.first < reportLife)
+        if (now - reported.first < reportLifetime)
             add(reported.second);
     }
-    m_expected.clear();
+    m_expectedLoads.clear();
     for (const auto& service : state->services) {
         if (!service.engine)
             continue;
@@ -514,7 +514,7 @@
         Placement placement = m_planner.plan(input);
         for (const auto& order : placement.orders)
             m_orders.execute(order, now);
-        m_expected.insert(m_expected.end(), placement.expected.begin(), placement.expected.end());
+        m_expectedLoads.insert(m_expectedLoads.end(), placement.expected.begin(), placement.expected.end());
     }
 }
 
@@ -522,7 +522,7 @@
 {
     if (auto answered = m_mirror.lastAnswer())
         m_metrics.gauge("toucanstep_store_silence_seconds", "", base::toSeconds(m_loop.now() - *answered));
-    m_metrics.gauge("toucanstep_directory_revision", "", static_cast<double>(m_mirror.part(StorePart::Text).revision().value()));
+    m_metrics.gauge("toucanstep_directory_revision", "", static_cast<double>(m_mirror.part(StorePart::DesiredState).revision().value()));
     return m_metrics.render();
 }
 
@@ -533,9 +533,9 @@
         { "instance", m_settings.instance.value() },
         { "ready", ready() },
         { "version", state ? state->version.value() : 0 },
-        { "directory_revision", m_mirror.part(StorePart::Text).revision().value() },
+        { "directory_revision", m_mirror.part(StorePart::DesiredState).revision().value() },
         { "upstreams", 0 },
-        { "planner", holdsDuty() },
+        { "planner", isPlanner() },
         { "running", m_calls.running() },
         { "waiting", m_calls.waiting() },
     };
--- a/packages/direct/src/GatewayCore.h
+++ b/packages/direct/src/GatewayCore.h
@@ -1,10 +1,10 @@
-// The parts of a direct gateway and the beats that drive them, all on the loop's thread.
+// The components of a direct gateway and the periodic tasks that drive them, all on the event loop's thread.
 
 #pragma once
 
 #include "CallDesk.h"
 #include "DutyKeeper.h"
-#include "FleetLink.h"
+#include "FleetTransport.h"
 #include "OrderDesk.h"
 #include "StoreMirror.h"
 #include "toucanstep/direct/DirectGateway.h"
@@ -21,26 +21,26 @@
     base::Result<void> start();
     void leave();
     bool drained() const { return m_drained.load(); }
-    base::Endpoint callerEndpoint() const { return m_callers->endpoint(); }
+    base::Endpoint callerEndpoint() const { return m_callerServer->endpoint(); }
 
     void onEntry(const base::KeyValue&) override;
     void onRemoved(const std::string& key) override;
     void onDirectoryUpdated() override;
 
 private:
-    // Answers on the operators' port: readiness, metrics, copies of the store for peers.
+    // Serves the readiness and operator ports: readiness, metrics, status and store copies for peers.
     class OperatorHandler;
     struct PeerState {
         LoadReport load;
-        base::Instant heard;
+        base::Instant receivedAt;
     };
 
-    void beat();
-    // Runs `task` once, a moment from now, however often it is asked for meanwhile.
-    void soon(io::EventLoop::TimerId&, void (GatewayCore::*task)());
-    void demandNow();
+    void tick();
+    // Runs `task` once after a short delay; requests made in the meantime are merged into that run.
+    void scheduleCoalesced(io::EventLoop::TimerId&, void (GatewayCore::*task)());
+    void sendDemandNow();
     void planNow();
-    void tellPlanNow();
+    void sendPlanNow();
     void onReport(const FleetReport&);
     void onDemandReport(const DemandReport&);
     void onLoadReport(const LoadReport&);
@@ -54,11 +54,11 @@
     void updatePeers();
     void setDesiredState(const base::KeyValue&);
     void setUpstream(const base::KeyValue&);
-    // Peers that were heard of late, those behind this gateway's own name first: so gateways ask different ones.
+    // Peers with a recent report, starting after this gateway's own name, so that gateways ask different peers.
     std::vector<CopySource> copySources() const;
 
-    bool holdsDuty() const { return m_duty.duty().holds(); }
-    void onDutyTaken();
+    bool isPlanner() const { return m_election.duty().holds(); }
+    void onBecamePlanner();
 
     ReportSender nextSender();
     bool ready() const;
@@ -76,18 +76,18 @@
     OrderDesk m_orders;
     PlacementPlanner m_planner;
     StoreMirror m_mirror;
-    DutyKeeper m_duty;
+    DutyKeeper m_election;
     std::unique_ptr<OperatorHandler> m_operatorHandler;
-    std::unique_ptr<FleetLink> m_link;
-    std::unique_ptr<http1::Server> m_callers;
-    std::unique_ptr<http1::Server> m_readiness;
-    std::unique_ptr<http1::Server> m_operators;
+    std::unique_ptr<FleetTransport> m_transport;
+    std::unique_ptr<http1::Server> m_callerServer;
+    std::unique_ptr<http1::Server> m_readinessServer;
+    std::unique_ptr<http1::Server> m_operatorServer;
 
     Incarnation m_incarnation;
     int64_t m_sequence = 0;
     std::map<base::InstanceId, PeerState> m_peers;
     std::map<base::InstanceId, std::pair<base::Instant, std::vector<TargetDemand>>> m_peerDemand;
-    std::vector<ExpectedLoad> m_expected;
+    std::vector<ExpectedLoad> m_expectedLoads;
     base::Epoch m_planFence;
     std::optional<base::InstanceId> m_plannerPeer;
 
@@ -95,10 +95,10 @@
     base::Instant m_nextPlanReport;
     base::Instant m_nextSweep;
 
-    io::EventLoop::TimerId m_beatTimer = 0;
+    io::EventLoop::TimerId m_tickTimer = 0;
     io::EventLoop::TimerId m_demandTimer = 0;
     io::EventLoop::TimerId m_planTimer = 0;
-    io::EventLoop::TimerId m_tellTimer = 0;
+    io::EventLoop::TimerId m_planReportTimer = 0;
     std::optional<base::Instant> m_leavingSince;
     std::atomic<bool> m_drained = false;
 };
--- a/packages/direct/src/StoreMirror.cpp
+++ b/packages/direct/src/StoreMirror.cpp
@@ -12,13 +12,13 @@
 namespace {
 
 constexpr auto copyInterval = std::chrono::milliseconds(400);
-// A peer's answer begins within this time, and is given up where nothing of it comes for as long.
-constexpr auto copySilence = std::chrono::milliseconds(900);
-// It is whole within this time: the largest text passes a link of 1 Mbit/s in it.
-constexpr auto longestCopy = std::chrono::seconds(12);
+// Time limit for the start of a peer's answer, and for each gap between its bytes.
+constexpr auto copyIdleTimeout = std::chrono::milliseconds(900);
+// Time limit for the whole answer; the largest desired state takes less on a 1 Mbit/s link.
+constexpr auto copyTimeout = std::chrono::seconds(12);
 
-// The part's number and the revision that the asking gateway has follow, with a slash between.
-constexpr std::string_view copyTarget = "/fleet/directory/";
+// Followed by the part's number, a slash and the revision that the requesting gateway has.
+constexpr std::string_view copyTargetPrefix = "/fleet/directory/";
 
 } // namespace
 
@@ -28,13 +28,13 @@
     , m_client(client)
     , m_settings(std::move(settings))
 {
-    const std::array<std::string, storeParts> prefixes { m_settings.textPrefix, m_settings.upstreamPrefix, m_settings.fleetPrefix };
-    for (size_t which = 0; which < storeParts; ++which) {
+    const std::array<std::string, storePartCount> prefixes { m_settings.desiredStatePrefix, m_settings.upstreamPrefix, m_settings.fleetPrefix };
+    for (size_t which = 0; which < storePartCount; ++which) {
         DirectorySettings directory;
         directory.prefix = prefixes[which];
-        directory.outageAfter = m_settings.outageAfter;
+        directory.outageThreshold = m_settings.outageThreshold;
         if (which == static_cast<size_t>(StorePart::Upstreams))
-            directory.lapsingPrefix = m_settings.upstreamPrefix;
+            directory.leasedPrefix = m_settings.upstreamPrefix;
         m_parts[which].directory = std::make_unique<Directory>(m_loop, m_store, directory, listener);
     }
 }
@@ -45,7 +45,7 @@
         part.directory->start();
 }
 
-bool StoreMirror::known() const
+bool StoreMirror::synced() const
 {
     return std::all_of(m_parts.begin(), m_parts.end(), [](const Part& part) { return part.directory->synced(); });
 }
@@ -69,16 +69,16 @@
 void StoreMirror::catchUp(const std::vector<CopySource>& sources)
 {
     base::Instant now = m_loop.now();
-    // An answer that is still arriving counts: a copy would only take a part of the same link.
+    // An answer that is still arriving counts as data: a copy would only compete for bandwidth on the same link.
     auto heard = std::max(lastAnswer(), m_store.lastProgress());
-    if (heard && now - *heard < m_settings.silence)
+    if (heard && now - *heard < m_settings.silenceThreshold)
         return;
-    for (size_t which = 0; which < storeParts; ++which) {
+    for (size_t which = 0; which < storePartCount; ++which) {
         Part& part = m_parts[which];
         if (part.copying || now < part.nextCopy)
             continue;
         auto source = std::find_if(sources.begin(), sources.end(), [&](const CopySource& candidate) {
-            return candidate.revisions.size() == storeParts && candidate.revisions[which] > part.directory->revision();
+            return candidate.revisions.size() == storePartCount && candidate.revisions[which] > part.directory->revision();
         });
         if (source != sources.end())
             copyFrom(which, *source);
@@ -91,8 +91,8 @@
     Part& part = m_parts[which];
     part.copying = true;
     part.nextCopy = now + copyInterval;
-    http1::FetchBounds bounds { now + copySilence, now + longestCopy, copySilence };
-    std::string target = base::concat(copyTarget, which, "/", part.directory->revision());
+    http1::FetchBounds bounds { now + copyIdleTimeout, now + copyTimeout, copyIdleTimeout };
+    std::string target = base::concat(copyTargetPrefix, which, "/", part.directory->revision());
     http1::fetch(m_loop, m_client, source.peer, "GET", target, {}, "", bounds, [this, which, peer = source.peer.name](const base::Outcome<http1::FetchedAnswer>& outcome) { onCopy(which, peer, outcome); });
 }
 
@@ -103,27 +103,27 @@
     const auto* answer = std::get_if<http1::FetchedAnswer>(&outcome);
     auto copy = answer ? decodeCopy(answer->body) : std::nullopt;
     if (!copy) {
-        base::LogLine("directory_from_peer_failed").add("peer", peer).add("part", which).add("reason", answer ? "the copy cannot be read" : std::get<base::Error>(outcome).message);
+        base::LogLine("directory_from_peer_failed").add("peer", peer).add("part", which).add("reason", answer ? "cannot decode the copy" : std::get<base::Error>(outcome).message);
         return;
     }
-    if (part.directory->adopt(*copy))
+    if (part.directory->applyPeerCopy(*copy))
         base::LogLine("directory_from_peer").add("peer", peer).add("part", which).add("revision", part.directory->revision()).add("bytes", answer->body.size());
 }
 
-bool StoreMirror::asksForCopy(std::string_view target)
+bool StoreMirror::isCopyRequest(std::string_view target)
 {
-    return target.starts_with(copyTarget);
+    return target.starts_with(copyTargetPrefix);
 }
 
-std::optional<std::string> StoreMirror::copyFor(std::string_view target) const
+std::optional<std::string> StoreMirror::copyResponse(std::string_view target) const
 {
-    target.remove_prefix(copyTarget.size());
+    target.remove_prefix(copyTargetPrefix.size());
     size_t slash = target.find('/');
     if (slash == std::string_view::npos)
         return std::nullopt;
     auto which = http1::parseNumber(target.substr(0, slash));
     auto since = http1::parseNumber(target.substr(slash + 1));
-    if (!which || !since || static_cast<size_t>(*which) >= storeParts)
+    if (!which || !since || static_cast<size_t>(*which) >= storePartCount)
         return std::nullopt;
     return encodeCopy(m_parts[static_cast<size_t>(*which)].directory->copySince(base::Revision(*since)));
 }
--- a/packages/direct/src/StoreMirror.h
+++ b/packages/direct/src/StoreMirror.h
@@ -1,7 +1,7 @@
-// This process's copy of all that it needs of the platform's store, in parts that are read independently of each other: an
-// answer with a large text holds up neither an upstream that leaves nor a gateway that comes.
+// A local replica of everything that the process needs from the platform's store. Its parts are read independently of each
+// other, so that a large desired state does not delay the news of a departing upstream or a new gateway.
 //
-// While the store is silent, parts that a peer has newer are copied from there.
+// While the store is silent, parts of which a peer has a newer revision are copied from that peer.
 
 #pragma once
 
@@ -20,27 +20,27 @@
 
 enum class StorePart : size_t {
     // The desired state: one large value that seldom changes.
-    Text,
+    DesiredState,
     Upstreams,
-    // Gateways, and the planner's duty.
+    // Gateways and the holder of the planner role.
     Fleet,
 };
-constexpr size_t storeParts = 3;
+constexpr size_t storePartCount = 3;
 
 struct StoreMirrorSettings {
-    std::string textPrefix;
+    std::string desiredStatePrefix;
     std::string upstreamPrefix;
     std::string fleetPrefix;
     // See DirectorySettings.
-    base::Duration outageAfter {};
-    // Without a byte of the store for this long a peer is asked.
-    base::Duration silence {};
+    base::Duration outageThreshold {};
+    // Time without data from the store after which peers are asked for copies.
+    base::Duration silenceThreshold {};
 };
 
-// A peer that may be asked for a copy.
+// A peer that can be asked for a copy.
 struct CopySource {
     http1::Peer peer;
-    // Of its parts, as it last reported them.
+    // Of its parts, as last reported by the peer.
     std::vector<base::Revision> revisions;
 };
 
@@ -49,20 +49,20 @@
     StoreMirror(io::EventLoop&, base::KeyValueStore&, http1::Client&, StoreMirrorSettings, DirectoryListener&);
 
     void start();
-    // Every part has been read.
-    bool known() const;
+    // Whether every part has been read.
+    bool synced() const;
     const Directory& part(StorePart which) const { return *m_parts[static_cast<size_t>(which)].directory; }
-    // Of the parts, in their order.
+    // One per part, in the order of StorePart.
     std::vector<base::Revision> revisions() const;
     // When the store last answered a read or a watch of any part.
     std::optional<base::Instant> lastAnswer() const;
 
-    // Asks for copies from peers where the store is silent; to be called several times a second. The sources are tried in
-    // the order in which they come.
+    // Requests copies from peers if the store is silent; to be called several times a second. For each part the first
+    // source with a newer revision is used.
     void catchUp(const std::vector<CopySource>& sources);
-    // Whether a request to this gateway is for a copy, and the answer to it; nothing where the target cannot be read.
-    static bool asksForCopy(std::string_view target);
-    std::optional<std::string> copyFor(std::string_view target) const;
+    // Whether a request to this gateway asks for a copy, and the response body; nothing if the target is malformed.
+    static bool isCopyRequest(std::string_view target);
+    std::optional<std::string> copyResponse(std::string_view target) const;
 
 private:
     struct Part {
@@ -78,7 +78,7 @@
     base::KeyValueStore& m_store;
     http1::Client& m_client;
     StoreMirrorSettings m_settings;
-    std::array<Part, storeParts> m_parts;
+    std::array<Part, storePartCount> m_parts;
 };
 
 } // namespace toucanstep::direct
--- a/packages/direct/test/DirectoryTest.cpp
+++ b/packages/direct/test/DirectoryTest.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-// A store whose answers the test gives by hand, on the loop's thread.
-class HandStore final : public base::KeyValueStore {
+// A store whose answers are supplied by the test, on the loop's thread.
+class ManualStore final : public base::KeyValueStore {
 public:
     using ListCallback = std::function<void(base::Outcome<base::RangeReply>)>;
     void get(std::string, base::Instant, ListCallback) override { }
@@ -37,9 +37,9 @@
 
 base::KeyValue entry(const std::string& key, int64_t modified, const std::string& value = "v") { return { key, value, Revision(modified), Revision(modified) }; }
 
-base::WatchEvent removal(const std::string& key, int64_t revision) { return { { key, "", Revision(), Revision(revision) }, true }; }
+base::WatchEvent removalEvent(const std::string& key, int64_t revision) { return { { key, "", Revision(), Revision(revision) }, true }; }
 
-class Keys final : public DirectoryListener {
+class RecordingListener final : public DirectoryListener {
 public:
     void onEntry(const base::KeyValue& put) override
     {
@@ -51,7 +51,7 @@
     int puts = 0;
 };
 
-// A clock that the test turns while the loop's thread reads it.
+// A clock that the test advances while the loop's thread reads it.
 class SharedClock final : public base::Clock {
 public:
     explicit SharedClock(std::shared_ptr<base::ManualClock> clock)
@@ -70,15 +70,15 @@
 {
     std::shared_ptr<base::ManualClock> clock = std::make_shared<base::ManualClock>();
     io::EventLoop loop { std::make_unique<SharedClock>(clock) };
-    HandStore store;
-    Keys keys;
+    ManualStore store;
+    RecordingListener keys;
     std::unique_ptr<direct::Directory> directory;
 
     void setup() override
     {
         onLoop([this] {
             DirectorySettings settings;
-            settings.lapsingPrefix = "servers/";
+            settings.leasedPrefix = "servers/";
             directory = std::make_unique<direct::Directory>(loop, store, settings, keys);
             directory->start();
         });
@@ -92,16 +92,16 @@
     {
         loop.runAndWait(task);
     }
-    void answer(std::vector<base::KeyValue> entries, int64_t revision)
+    void answerList(std::vector<base::KeyValue> entries, int64_t revision)
     {
         onLoop([&] { store.listing(base::RangeReply { std::move(entries), Revision(revision) }); });
     }
-    void events(std::vector<base::WatchEvent> list, int64_t revision)
+    void deliverEvents(std::vector<base::WatchEvent> list, int64_t revision)
     {
         onLoop([&] { store.listener->onEvents(std::move(list), Revision(revision)); });
     }
-    // Time passes, and what was due has run.
-    void pass(base::Duration time)
+    // Advances the clock and waits until timers that are due have run.
+    void advance(base::Duration time)
     {
         clock->advance(time);
         onLoop([] {});
@@ -109,121 +109,121 @@
     }
 };
 
-TEST(Directory, AWatchGoesOnFromTheRevisionThatWasRead)
+TEST(Directory, WatchStartsAtTheListedRevision)
 {
-    answer({ entry("a", 3) }, 7);
+    answerList({ entry("a", 3) }, 7);
     LONGS_EQUAL(7, store.watchedFrom.value());
-    events({ { entry("b", 8), false }, removal("a", 9) }, 9);
+    deliverEvents({ { entry("b", 8), false }, removalEvent("a", 9) }, 9);
     CHECK_TRUE(keys.present == std::set<std::string> { "b" });
 }
 
-TEST(Directory, AnAnswerFromBeforeChangesNothing)
+TEST(Directory, StaleEventsAreIgnored)
 {
-    answer({ entry("a", 3) }, 7);
-    events({ { entry("a", 5), false } }, 7);
+    answerList({ entry("a", 3) }, 7);
+    deliverEvents({ { entry("a", 5), false } }, 7);
     LONGS_EQUAL(1, keys.puts);
 }
 
-TEST(Directory, OfSeveralChangesOfOneKeyTheLastCounts)
+TEST(Directory, OnlyTheLastOfSeveralChangesOfAKeyIsApplied)
 {
-    // On a slow core calls would wait while each of a storm of desired states is read in turn.
-    answer({}, 7);
-    events({ { entry("a", 8), false }, { entry("a", 9), false }, { entry("a", 10), false } }, 10);
+    // Guards against calls being delayed on a slow core while every desired state of a burst is parsed.
+    answerList({}, 7);
+    deliverEvents({ { entry("a", 8), false }, { entry("a", 9), false }, { entry("a", 10), false } }, 10);
     LONGS_EQUAL(1, keys.puts);
     LONGS_EQUAL(10, directory->entries().at("a").modified.value());
 }
 
-TEST(Directory, WhatWentInLostHistoryIsGone)
+TEST(Directory, KeysRemovedInCompactedHistoryAreRemoved)
 {
-    answer({ entry("a", 3), entry("b", 4) }, 7);
+    answerList({ entry("a", 3), entry("b", 4) }, 7);
     onLoop([this] { store.listener->onEnd({ base::ErrorKind::Rejected, "history" }); });
-    pass(std::chrono::seconds(1));
-    answer({ entry("b", 4) }, 12);
+    advance(std::chrono::seconds(1));
+    answerList({ entry("b", 4) }, 12);
     CHECK_TRUE(keys.present == std::set<std::string> { "b" });
 }
 
-TEST(Directory, EntriesThatLapsedInAnOutageGetAMomentToComeBack)
+TEST(Directory, EntriesThatExpiredInAnOutageAreKeptForAGracePeriod)
 {
-    // All engines would seem gone when the store returns: their entries lapsed while it was away, and each engine writes
-    // its own again within two seconds.
-    answer({ entry("servers/a", 3), entry("servers/b", 4), entry("other", 5) }, 7);
-    pass(std::chrono::seconds(5));
-    events({ removal("servers/a", 8), removal("servers/b", 9), removal("other", 10) }, 10);
+    // Guards against all engines being removed when the store returns: their entries expire during the outage, and each
+    // engine writes its own again within two seconds.
+    answerList({ entry("servers/a", 3), entry("servers/b", 4), entry("other", 5) }, 7);
+    advance(std::chrono::seconds(5));
+    deliverEvents({ removalEvent("servers/a", 8), removalEvent("servers/b", 9), removalEvent("other", 10) }, 10);
     CHECK_TRUE(keys.present == std::set<std::string>({ "servers/a", "servers/b" }));
-    events({ { entry("servers/a", 11), false } }, 11);
-    pass(std::chrono::seconds(3));
+    deliverEvents({ { entry("servers/a", 11), false } }, 11);
+    advance(std::chrono::seconds(3));
     CHECK_TRUE(keys.present == std::set<std::string> { "servers/a" });
 }
 
-TEST(Directory, WithoutAnOutageAnEntryThatWentIsGoneAtOnce)
+TEST(Directory, WithoutAnOutageARemovedEntryIsRemovedAtOnce)
 {
-    answer({ entry("servers/a", 3) }, 7);
-    events({ removal("servers/a", 8) }, 8);
+    answerList({ entry("servers/a", 3) }, 7);
+    deliverEvents({ removalEvent("servers/a", 8) }, 8);
     CHECK_TRUE(keys.present.empty());
 }
 
-TEST(Directory, APeersNewerCopyIsTakenAndAnOlderOneIsNot)
+TEST(Directory, OnlyANewerPeerCopyIsApplied)
 {
-    // The watch stays as it is: begun anew with each peer's copy, it waited its pause again each time and never asked the
-    // store, and every gateway took copies from the others all day.
-    answer({ entry("a", 3) }, 7);
+    // Guards against restarting the watch with each peer copy: the watch would wait its poll delay again each time and never
+    // query the store, and the gateways would go on copying from each other instead.
+    answerList({ entry("a", 3) }, 7);
     onLoop([this] {
-        CHECK_FALSE(directory->adopt({ Revision(), Revision(7), { entry("x", 6) }, {} }));
-        CHECK_TRUE(directory->adopt({ Revision(), Revision(9), { entry("b", 9) }, {} }));
+        CHECK_FALSE(directory->applyPeerCopy({ Revision(), Revision(7), { entry("x", 6) }, {} }));
+        CHECK_TRUE(directory->applyPeerCopy({ Revision(), Revision(9), { entry("b", 9) }, {} }));
     });
     CHECK_TRUE(keys.present == std::set<std::string> { "b" });
     LONGS_EQUAL(7, store.watchedFrom.value());
 }
 
-TEST(Directory, ACopyOfWhatChangedHasNoMore)
+TEST(Directory, ADeltaHoldsOnlyWhatChanged)
 {
-    answer({ entry("a", 3), entry("b", 4), entry("c", 5) }, 7);
-    events({ { entry("a", 8), false }, removal("b", 9) }, 9);
+    answerList({ entry("a", 3), entry("b", 4), entry("c", 5) }, 7);
+    deliverEvents({ { entry("a", 8), false }, removalEvent("b", 9) }, 9);
     DirectoryCopy copy = directory->copySince(Revision(7));
     LONGS_EQUAL(1, copy.entries.size());
     STRCMP_EQUAL("a", copy.entries[0].key.c_str());
     CHECK_TRUE(copy.removed == std::vector<std::string> { "b" });
-    // Further back than the removals are known, all is given.
+    // Before the start of the removal log, the copy is a full snapshot.
     LONGS_EQUAL(0, directory->copySince(Revision(6)).since.value());
 }
 
-TEST(Directory, WhatIsKeptForAMomentIsNotGivenToPeers)
+TEST(Directory, EntriesInTheirGracePeriodAreNotCopiedToPeers)
 {
-    // A gateway would send calls to an engine that had left until its own end: its peer kept the entry for a moment after
-    // an outage, gave it a copy without the removal, and its watch went on behind that.
-    answer({ entry("servers/a", 3), entry("servers/b", 4) }, 7);
-    pass(std::chrono::seconds(5));
-    events({ removal("servers/a", 8) }, 9);
+    // Guards against a gateway that never removes an engine that has left: its peer kept the entry for the grace period and
+    // sent a copy without the removal, and the gateway's watch continued after the revision of the removal.
+    answerList({ entry("servers/a", 3), entry("servers/b", 4) }, 7);
+    advance(std::chrono::seconds(5));
+    deliverEvents({ removalEvent("servers/a", 8) }, 9);
     CHECK_TRUE(keys.present.contains("servers/a"));
     CHECK_TRUE(directory->copySince(Revision(7)).removed == std::vector<std::string> { "servers/a" });
     LONGS_EQUAL(1, directory->copySince(Revision()).entries.size());
-    pass(std::chrono::seconds(3));
+    advance(std::chrono::seconds(3));
     CHECK_TRUE(directory->copySince(Revision(7)).removed == std::vector<std::string> { "servers/a" });
 }
 
-TEST(Directory, WhatPeersGaveIsCheckedOnceTheStoreIsBack)
+TEST(Directory, PeerCopiesAreVerifiedOnceTheStoreIsReachable)
 {
-    answer({ entry("a", 3) }, 7);
-    onLoop([this] { directory->adopt({ Revision(6), Revision(9), { entry("b", 9) }, {} }); });
+    answerList({ entry("a", 3) }, 7);
+    onLoop([this] { directory->applyPeerCopy({ Revision(6), Revision(9), { entry("b", 9) }, {} }); });
     store.listing = nullptr;
-    events({}, 9);
-    pass(std::chrono::seconds(1));
+    deliverEvents({}, 9);
+    advance(std::chrono::seconds(1));
     CHECK_TRUE(store.listing != nullptr);
-    answer({ entry("b", 9) }, 10);
+    answerList({ entry("b", 9) }, 10);
     CHECK_TRUE(keys.present == std::set<std::string> { "b" });
 }
 
-TEST(Directory, ACopyOfChangesFromAheadIsNotTaken)
+TEST(Directory, ADeltaFromALaterRevisionIsRejected)
 {
-    answer({ entry("a", 3) }, 7);
+    answerList({ entry("a", 3) }, 7);
     onLoop([this] {
-        CHECK_FALSE(directory->adopt({ Revision(8), Revision(9), { entry("b", 9) }, {} }));
-        CHECK_TRUE(directory->adopt({ Revision(6), Revision(9), { entry("b", 9) }, { "a" } }));
+        CHECK_FALSE(directory->applyPeerCopy({ Revision(8), Revision(9), { entry("b", 9) }, {} }));
+        CHECK_TRUE(directory->applyPeerCopy({ Revision(6), Revision(9), { entry("b", 9) }, { "a" } }));
     });
     CHECK_TRUE(keys.present == std::set<std::string> { "b" });
 }
 
-TEST(Directory, ACopyComesBackAsItWasSentAndOtherBytesGiveNothing)
+TEST(Directory, CopiesRoundTripAndMalformedInputIsRejected)
 {
     auto copy = decodeCopy(encodeCopy({ Revision(3), Revision(9), { entry("a", 8, std::string("\x00\xff", 2)) }, { "b" } }));
     CHECK_TRUE(copy.has_value());
--- a/packages/direct/test/StoreMirrorTest.cpp
+++ b/packages/direct/test/StoreMirrorTest.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-// A store that answers a listing only when the test says so, and whose watches hear nothing.
+// A store that answers list requests only when the test says so, and whose watches never deliver events.
 class SilentStore final : public base::KeyValueStore {
 public:
     using ListCallback = std::function<void(base::Outcome<base::RangeReply>)>;
@@ -31,7 +31,7 @@
     std::optional<base::Instant> progress;
 };
 
-class Keys final : public DirectoryListener {
+class RecordingListener final : public DirectoryListener {
 public:
     void onEntry(const base::KeyValue& put) override { present[put.key] = put.value; }
     void onRemoved(const std::string& key) override { present.erase(key); }
@@ -40,7 +40,7 @@
     Mailbox<size_t> updates;
 };
 
-// Gives peers copies of a mirror, and notes what it is asked for.
+// Serves copies of a mirror to peers and records the request targets.
 class CopyHandler final : public http1::RequestHandler {
 public:
     CopyHandler(io::EventLoop& loop, const StoreMirror& mirror)
@@ -51,7 +51,7 @@
     void onRequest(std::shared_ptr<http1::ServerExchange> exchange) override
     {
         targets.push_back(exchange->head().target);
-        std::string copy = m_mirror.copyFor(exchange->head().target).value_or("");
+        std::string copy = m_mirror.copyResponse(exchange->head().target).value_or("");
         if (pause == base::Duration::zero()) {
             exchange->answer({}, copy);
             return;
@@ -61,7 +61,7 @@
     }
 
     std::vector<std::string> targets;
-    // Between the bytes of an answer.
+    // Delay between the bytes of an answer.
     base::Duration pause {};
 
 private:
@@ -83,14 +83,14 @@
 
 } // namespace
 
-// A mirror whose store falls silent, and a peer's mirror that knows more.
+// A mirror whose store is silent, and a peer's mirror with newer revisions.
 TEST_GROUP(StoreMirror)
 {
     io::EventLoop loop;
     SilentStore store;
     SilentStore peerStore;
-    Keys keys;
-    Keys peerKeys;
+    RecordingListener keys;
+    RecordingListener peerKeys;
     std::unique_ptr<http1::Client> client;
     std::unique_ptr<StoreMirror> mirror;
     std::unique_ptr<StoreMirror> peer;
@@ -104,7 +104,7 @@
             StoreMirrorSettings settings { "text", "servers/", "fleet/", std::chrono::hours(1), std::chrono::hours(1) };
             client = std::make_unique<http1::Client>(loop);
             peer = std::make_unique<StoreMirror>(loop, peerStore, *client, settings, peerKeys);
-            settings.silence = base::Duration::zero();
+            settings.silenceThreshold = base::Duration::zero();
             mirror = std::make_unique<StoreMirror>(loop, store, *client, settings, keys);
             handler = std::make_unique<CopyHandler>(loop, *peer);
             base::Error error;
@@ -125,14 +125,14 @@
             peer.reset();
         });
     }
-    void answer(SilentStore & which, const std::string& prefix, int64_t revision)
+    void answerList(SilentStore & which, const std::string& prefix, int64_t revision)
     {
         loop.runAndWait([&] { which.listings.at(prefix)(base::RangeReply { { { prefix, "v", Revision(revision), Revision(revision) } }, Revision(revision) }); });
     }
     void readAll(SilentStore & which, int64_t revision)
     {
         for (const char* prefix : { "text", "servers/", "fleet/" })
-            answer(which, prefix, revision);
+            answerList(which, prefix, revision);
     }
     void catchUp()
     {
@@ -140,25 +140,25 @@
     }
 };
 
-TEST(StoreMirror, UpstreamsAreInUseBeforeTheTextHasArrived)
+TEST(StoreMirror, UpstreamsAreUsableBeforeTheDesiredStateHasArrived)
 {
-    // Guards against an upstream's leaving that waits until a large text has been read.
-    answer(store, "servers/", 3);
+    // Guards against the removal of an upstream being delayed until a large desired state has been read.
+    answerList(store, "servers/", 3);
     CHECK_TRUE(keys.present.contains("servers/"));
-    answer(store, "fleet/", 3);
-    CHECK_FALSE(mirror->known());
-    answer(store, "text", 3);
-    CHECK_TRUE(mirror->known());
+    answerList(store, "fleet/", 3);
+    CHECK_FALSE(mirror->synced());
+    answerList(store, "text", 3);
+    CHECK_TRUE(mirror->synced());
 }
 
-TEST(StoreMirror, OnlyThePartsThatAPeerHasNewerAreCopied)
+TEST(StoreMirror, OnlyPartsOfWhichAPeerHasANewerRevisionAreCopied)
 {
-    // Guards against copies that move the large text although only an upstream changed.
+    // Guards against copying the large desired state when only an upstream has changed.
     readAll(store, 5);
     readAll(peerStore, 5);
     while (keys.updates.take(base::Duration::zero()))
         continue;
-    answer(peerStore, "servers/", 9);
+    answerList(peerStore, "servers/", 9);
     catchUp();
     CHECK_TRUE(keys.updates.take().has_value());
     loop.runAndWait([this] {
@@ -168,42 +168,42 @@
     });
 }
 
-TEST(StoreMirror, ACopyThatIsStillArrivingIsNotCutOff)
+TEST(StoreMirror, ACopyThatIsStillArrivingIsNotAborted)
 {
-    // Guards against copies that never arrive: one that needs longer than its request's deadline began anew each time.
+    // Guards against copies that never complete: a transfer longer than the request's deadline was restarted each time.
     readAll(store, 5);
     readAll(peerStore, 5);
     while (keys.updates.take(base::Duration::zero()))
         continue;
     loop.runAndWait([this] { handler->pause = std::chrono::milliseconds(80); });
-    answer(peerStore, "text", 9);
-    // 1.3 s for the copy, where its answer must begin within 0.9 s.
-    LONGS_EQUAL(16, peer->copyFor("/fleet/directory/0/5")->size());
+    answerList(peerStore, "text", 9);
+    // The transfer takes 1.3 s, longer than the 0.9 s within which an answer must begin.
+    LONGS_EQUAL(16, peer->copyResponse("/fleet/directory/0/5")->size());
     catchUp();
     CHECK_TRUE(keys.updates.take().has_value());
     loop.runAndWait([this] { LONGS_EQUAL(1, handler->targets.size()); });
 }
 
-TEST(StoreMirror, WhileAnAnswerOfTheStoreIsArrivingNoPeerIsAsked)
+TEST(StoreMirror, NoPeerIsAskedWhileAnAnswerOfTheStoreIsArriving)
 {
-    // Guards against a copy that takes half of the link from the store's own answer, so that neither arrives.
+    // Guards against a copy that competes with the store's own answer for bandwidth, so that neither completes.
     loop.runAndWait([this] { mirror = std::make_unique<StoreMirror>(loop, store, *client, StoreMirrorSettings { "text", "servers/", "fleet/", std::chrono::hours(1), std::chrono::hours(1) }, keys); });
     readAll(peerStore, 9);
     store.progress = loop.now();
     catchUp();
     catchUp();
     loop.runAndWait([this] { CHECK_TRUE(handler->targets.empty()); });
-    // The same with a store from which nothing came.
+    // Once the store shows no progress, the peer is asked.
     store.progress.reset();
     catchUp();
     CHECK_TRUE(keys.updates.take().has_value());
 }
 
-TEST(StoreMirror, RequestsForCopiesThatCannotBeReadGetNone)
+TEST(StoreMirror, MalformedCopyRequestsGetNoCopy)
 {
-    // Guards against a target from another version of the program that would be taken for a part.
-    CHECK_TRUE(StoreMirror::asksForCopy("/fleet/directory/1/5"));
-    CHECK_FALSE(StoreMirror::asksForCopy("/metrics"));
+    // Guards against a target in another version's format being mistaken for a valid part.
+    CHECK_TRUE(StoreMirror::isCopyRequest("/fleet/directory/1/5"));
+    CHECK_FALSE(StoreMirror::isCopyRequest("/metrics"));
     for (const char* target : { "/fleet/directory/", "/fleet/directory/1", "/fleet/directory/3/5", "/fleet/directory/x/5", "/fleet/directory/1/x", "/fleet/directory/-1/5" })
-        CHECK_FALSE(mirror->copyFor(target).has_value());
+        CHECK_FALSE(mirror->copyResponse(target).has_value());
 }
