--- a/bench/text_slope.cpp
+++ b/bench/text_slope.cpp
@@ -105,12 +105,12 @@
         settings.domain = base::FailureDomain("a");
         settings.callers = settings.readiness = settings.peers = { "127.0.0.1", 0 };
         settings.firstStart = true;
-        settings.changeBound = changeBound;
+        settings.changePropagationLimit = changeBound;
         base::Endpoint at = m_store.endpoint();
         base::Error error;
         auto started = base::valueOr(error, [&] {
-            return direct::DirectGateway::start(settings, std::make_shared<platform::PlatformFormat>(), [at](io::EventLoop& loop, http1::Client& client, direct::WatchPace pace) {
-                return platform::makePlatformStore(loop, client, at, { .watchPause = pace.pause, .textWait = pace.wait });
+            return direct::DirectGateway::start(settings, std::make_shared<platform::PlatformFormat>(), [at](io::EventLoop& loop, http1::Client& client, direct::WatchPollSettings polling) {
+                return platform::makePlatformStore(loop, client, at, { .watchPause = polling.pollDelay, .textWait = polling.longPollTimeout });
             });
         });
         if (!started)
--- a/packages/direct/src/CallRun.cpp
+++ b/packages/direct/src/CallRun.cpp
@@ -121,7 +121,7 @@
         return false;
     }
     const Account* account = nullptr;
-    if (!m_route->open && !m_state->accounts.empty()) {
+    if (!m_route->allowsAnonymous && !m_state->accounts.empty()) {
         account = m_call.key.empty() ? nullptr : m_state->findAccountByKey(base::KeyFingerprint(base::sha256Hex(m_call.key)));
         if (!account) {
             refuse(statusUnauthorized, "unauthorized", Ran::No, "the key is missing or not known");
@@ -132,8 +132,8 @@
     m_rank = account && account->priority ? *account->priority : m_route->priority;
     base::Duration limit = m_call.timeLimit ? std::min(*m_call.timeLimit, m_route->timeout) : m_route->timeout;
     m_deadline = m_arrived + limit;
-    bool leavesEarlier = m_route->callerPatience > base::Duration::zero() && m_route->callerPatience < limit;
-    m_beginBy = leavesEarlier ? m_arrived + m_route->callerPatience : m_deadline;
+    bool leavesEarlier = m_route->callerAbandonTimeout > base::Duration::zero() && m_route->callerAbandonTimeout < limit;
+    m_beginBy = leavesEarlier ? m_arrived + m_route->callerAbandonTimeout : m_deadline;
     m_fingerprint = fingerprintOfCall(m_account, head, m_caller->body());
     if (m_desk.quarantine().state(m_fingerprint, m_arrived) == routing::QuarantineState::Refused) {
         refuse(statusUnavailable, "request_quarantined", Ran::No, "this request has broken off at several upstreams");
