--- a/packages/direct/include/toucanstep/direct/CrashEvidence.h
+++ b/packages/direct/include/toucanstep/direct/CrashEvidence.h
@@ -18,7 +18,7 @@
 
 struct CrashSuspicion {
     base::UpstreamId upstream;
-    StartMark start;
+    StartId start;
     routing::RequestFingerprint fingerprint;
     base::Instant brokeAt;
 };
--- a/packages/direct/include/toucanstep/direct/FleetReports.h
+++ b/packages/direct/include/toucanstep/direct/FleetReports.h
@@ -60,7 +60,7 @@
 // What the planner knows of an engine before the list shows it: a target was loaded, or is being taken away.
 struct LoadedNotice {
     base::UpstreamId upstream;
-    StartMark start;
+    StartId start;
     ModelTarget target;
     bool loaded = false;
 };
--- a/packages/direct/include/toucanstep/direct/Upstream.h
+++ b/packages/direct/include/toucanstep/direct/Upstream.h
@@ -16,7 +16,7 @@
 namespace toucanstep::direct {
 
 // Tells one start of an upstream from the next under the same id.
-using StartMark = base::StrongNumber<struct StartMarkTag>;
+using StartId = base::StrongNumber<struct StartIdTag>;
 
 // Models by name, each with the adapters that are loaded for it.
 using LoadedModels = std::map<base::ModelId, std::set<AdapterId>>;
@@ -26,7 +26,7 @@
     base::ServiceId service;
     base::Endpoint endpoint;
     base::FailureDomain domain;
-    StartMark start;
+    StartId start;
     int64_t slots = 1;
     bool draining = false;
     LoadedModels loaded;
@@ -47,7 +47,7 @@
 // An engine's own report of its state.
 struct EngineReport {
     // Where the report says it.
-    std::optional<StartMark> start;
+    std::optional<StartId> start;
     LoadedModels loaded;
     std::set<base::ModelId> inHostMemory;
     std::set<base::ModelId> onDisk;
--- a/packages/direct/include/toucanstep/direct/UpstreamTable.h
+++ b/packages/direct/include/toucanstep/direct/UpstreamTable.h
@@ -60,7 +60,7 @@
 
 private:
     struct Notice {
-        StartMark start;
+        StartId start;
         bool loaded = false;
         base::Instant until;
     };
--- a/packages/direct/src/CallDesk.cpp
+++ b/packages/direct/src/CallDesk.cpp
@@ -242,7 +242,7 @@
 void CallDesk::suspectCrash(const base::UpstreamId& upstream, const routing::RequestFingerprint& fingerprint)
 {
     const UpstreamEntry* entry = m_upstreams.find(upstream);
-    m_crashes.onBroken({ upstream, entry ? entry->description.start : StartMark(), fingerprint, now() });
+    m_crashes.onBroken({ upstream, entry ? entry->description.start : StartId(), fingerprint, now() });
 }
 
 void CallDesk::strikeForCrashes()
--- a/packages/direct/src/FleetReports.cpp
+++ b/packages/direct/src/FleetReports.cpp
@@ -132,7 +132,7 @@
 {
     PlanReport report { std::move(sender), number<base::Epoch>(value.at(1)), {}, {} };
     for (const Json& entry : value.at(2)) {
-        report.notices.push_back({ text<base::UpstreamId>(entry.at(0)), number<StartMark>(entry.at(1)), target(entry.at(2), entry.at(3)), entry.at(4).get<bool>() });
+        report.notices.push_back({ text<base::UpstreamId>(entry.at(0)), number<StartId>(entry.at(1)), target(entry.at(2), entry.at(3)), entry.at(4).get<bool>() });
     }
     for (const Json& entry : value.at(3))
         report.expected.push_back({ target(entry.at(0), entry.at(1)), span(entry.at(2)) });
--- a/packages/direct/test/CrashEvidenceTest.cpp
+++ b/packages/direct/test/CrashEvidenceTest.cpp
@@ -11,7 +11,7 @@
 constexpr auto millisecond = std::chrono::milliseconds(1);
 const base::UpstreamId engine("e");
 
-CrashSuspicion suspicion(const char* fingerprint = "f") { return { engine, StartMark(1), routing::RequestFingerprint(fingerprint), start }; }
+CrashSuspicion suspicion(const char* fingerprint = "f") { return { engine, StartId(1), routing::RequestFingerprint(fingerprint), start }; }
 
 } // namespace
 
--- a/packages/direct/test/DecisionTest.cpp
+++ b/packages/direct/test/DecisionTest.cpp
@@ -180,8 +180,8 @@
 TEST(Dispatch, ThePlannersNoticeGoesBeforeTheListUntilItExpires)
 {
     table.put(engine("one", "m"), now);
-    table.notice({ base::UpstreamId("one"), StartMark(), { base::ModelId("n"), AdapterId() }, true }, now + std::chrono::seconds(1));
-    table.notice({ base::UpstreamId("one"), StartMark(), { base::ModelId("m"), AdapterId() }, false }, now + std::chrono::seconds(1));
+    table.notice({ base::UpstreamId("one"), StartId(), { base::ModelId("n"), AdapterId() }, true }, now + std::chrono::seconds(1));
+    table.notice({ base::UpstreamId("one"), StartId(), { base::ModelId("m"), AdapterId() }, false }, now + std::chrono::seconds(1));
     STRCMP_EQUAL("one", chosen(asks("n")).c_str());
     CHECK_TRUE(obstacle(asks("m")) == Obstacle::NotLoaded);
     now += std::chrono::seconds(1);
@@ -191,10 +191,10 @@
 TEST(Dispatch, AnotherStartOfAnEngineHasNothingOfTheOldOne)
 {
     table.put(engine("one", "m"), now);
-    table.notice({ base::UpstreamId("one"), StartMark(), { base::ModelId("n"), AdapterId() }, true }, now + std::chrono::seconds(9));
+    table.notice({ base::UpstreamId("one"), StartId(), { base::ModelId("n"), AdapterId() }, true }, now + std::chrono::seconds(9));
     table.onFailure(base::UpstreamId("one"), now);
     UpstreamDescription again = engine("one", "m");
-    again.start = StartMark(7);
+    again.start = StartId(7);
     table.put(again, now);
     CHECK_TRUE(obstacle(asks("n")) == Obstacle::NotLoaded);
     DOUBLES_EQUAL(0, UpstreamTable::recentFailures(*table.find(base::UpstreamId("one")), now), 0.001);
@@ -321,7 +321,7 @@
     LONGS_EQUAL(300, demandBack.demand.at(0).arrivalsPerKilosecond);
     LONGS_EQUAL(1500, demandBack.demand.at(0).awaitingThousandths);
 
-    PlanReport plan { sender, base::Epoch(6), { { base::UpstreamId("e"), StartMark(8), { base::ModelId("m"), AdapterId() }, true } }, { { { base::ModelId("n"), AdapterId() }, std::chrono::milliseconds(250) } } };
+    PlanReport plan { sender, base::Epoch(6), { { base::UpstreamId("e"), StartId(8), { base::ModelId("m"), AdapterId() }, true } }, { { { base::ModelId("n"), AdapterId() }, std::chrono::milliseconds(250) } } };
     auto planBack = std::get<PlanReport>(*decodeReport(encodeReport(plan)));
     LONGS_EQUAL(6, planBack.fence.value());
     CHECK_TRUE(planBack.notices.at(0).loaded);
