--- a/packages/direct/include/toucanstep/direct/PlannerDuty.h
+++ b/packages/direct/include/toucanstep/direct/PlannerLeadership.h
@@ -19,54 +19,54 @@
 
 namespace toucanstep::direct {
 
-struct PlannerDutySettings {
+struct PlannerLeadershipSettings {
     // The lease's length; a holder that dies is replaced no sooner.
     base::Duration lease = std::chrono::milliseconds(1500);
     // Given up this long before the lease ends: an order that is sent then must still arrive within it.
     base::Duration margin = std::chrono::milliseconds(300);
     // No order within this time after another holder's last one may have been sent.
-    base::Duration handOver = std::chrono::seconds(3);
+    base::Duration handOverPause = std::chrono::seconds(3);
     // For the last planner to take an open duty again before others do: a few calls to the store.
-    base::Duration lastPlannersStart = std::chrono::milliseconds(400);
+    base::Duration lastPlannerHeadStart = std::chrono::milliseconds(400);
 };
 
 // What the store says of the duty.
-struct DutyRecord {
+struct LeadershipRecord {
     std::optional<base::InstanceId> holder;
     // Gave the last orders; empty while a new holder has yet to give one. Not set before the first planner.
     std::optional<base::InstanceId> lastPlanner;
 };
 
-class PlannerDuty {
+class PlannerLeadership {
 public:
     // `firstStart`: the whole fleet starts for the first time, and no planner was before.
-    PlannerDuty(PlannerDutySettings, base::InstanceId self, bool firstStart);
+    PlannerLeadership(PlannerLeadershipSettings, base::InstanceId self, bool firstStart);
 
     // Whether this gateway may try to take the duty now. To be asked several times a second.
-    bool isOpen(const DutyRecord&, base::Instant now);
+    bool mayCampaign(const LeadershipRecord&, base::Instant now);
     // Nobody else can have given an order since this machine did.
-    bool goesOn(const DutyRecord&) const;
+    bool canResume(const LeadershipRecord&) const;
     // The key is this gateway's, written at `fence`.
-    void onAcquired(base::Epoch fence, base::Instant renewalSent, base::Instant now, bool goesOn);
+    void onAcquired(base::Epoch fence, base::Instant renewalSent, base::Instant now, bool canResume);
     // The store has yet to be told that this gateway gives orders.
-    bool unsettled() const { return m_fence && !m_settled; }
-    void setSettled(bool settled) { m_settled = settled; }
+    bool needsRecording() const { return m_fence && !m_recorded; }
+    void setRecorded(bool settled) { m_recorded = settled; }
     void onRenewed(base::Instant renewalSent);
     // The lease has ended, another holder was seen, or an engine has met a higher fence.
     void onLost();
-    bool holds() const { return m_fence.has_value(); }
-    bool mayOrder(base::Instant now) const;
+    bool isLeader() const { return m_fence.has_value(); }
+    bool maySendOrders(base::Instant now) const;
     base::Epoch fence() const { return m_fence.value_or(base::Epoch()); }
 
 private:
-    PlannerDutySettings m_settings;
+    PlannerLeadershipSettings m_settings;
     base::InstanceId m_self;
     bool m_firstStart = false;
     // Since when nobody has been seen to hold the duty.
-    std::optional<base::Instant> m_openSince;
-    bool m_settled = false;
+    std::optional<base::Instant> m_vacantSince;
+    bool m_recorded = false;
     std::optional<base::Epoch> m_fence;
-    base::Instant m_orderFrom;
+    base::Instant m_ordersAllowedFrom;
     base::Instant m_validUntil;
 };
 
--- a/packages/direct/src/GatewayCore.cpp
+++ b/packages/direct/src/GatewayCore.cpp
@@ -126,10 +126,10 @@
     , m_store(makeStore(loop, m_storeClient, watchPace(m_settings)))
     , m_calls(loop, m_client, *m_format, m_metrics, callSettings(m_settings))
     , m_orders(
-          loop, m_client, *m_format, m_settings.instance.value(), [this] { m_duty.lose("an engine has met a newer fence"); }, [this] { soon(m_tellTimer, &GatewayCore::tellPlanNow); soon(m_planTimer, &GatewayCore::planNow); })
+          loop, m_client, *m_format, m_settings.instance.value(), [this] { m_election.resign("an engine has met a newer fence"); }, [this] { soon(m_tellTimer, &GatewayCore::tellPlanNow); soon(m_planTimer, &GatewayCore::planNow); })
     , m_planner(PlacementSettings {})
     , m_mirror(loop, *m_store, m_client, mirrorSettings(m_settings, *m_format), *this)
-    , m_duty(loop, *m_store, m_mirror.part(StorePart::Fleet), m_settings, [this] { onDutyTaken(); })
+    , m_election(loop, *m_store, m_mirror.part(StorePart::Fleet), m_settings, [this] { onElected(); })
     , m_operatorHandler(std::make_unique<OperatorHandler>(*this))
     , m_incarnation(wallMilliseconds())
 {
@@ -163,13 +163,13 @@
 void GatewayCore::beat()
 {
     base::Instant now = m_loop.now();
-    m_duty.beat();
+    m_election.tick();
     setPeersLoad();
     sendLoadReport();
     m_calls.tick();
-    if (m_duty.duty().mayOrder(now))
+    if (m_election.leadership().maySendOrders(now))
         plan();
-    else if (holdsDuty())
+    else if (isPlanner())
         readEngines();
     sendDemand();
     sendPlan();
@@ -202,7 +202,7 @@
 
 void GatewayCore::demandNow()
 {
-    if (holdsDuty()) {
+    if (isPlanner()) {
         planNow();
         return;
     }
@@ -212,7 +212,7 @@
 
 void GatewayCore::planNow()
 {
-    if (m_duty.duty().mayOrder(m_loop.now()))
+    if (m_election.leadership().maySendOrders(m_loop.now()))
         plan();
 }
 
@@ -229,7 +229,7 @@
     base::LogLine("leaving").add("running", m_calls.running());
     m_leavingSince = m_loop.now();
     m_callers->closeAfterAnswers();
-    m_duty.leave();
+    m_election.leave();
 }
 
 // ---- the directory
@@ -261,7 +261,7 @@
 {
     if (auto answered = m_mirror.lastAnswer())
         m_calls.noteStore(*answered);
-    if (auto planner = m_duty.onDirectoryUpdated())
+    if (auto planner = m_election.onDirectoryUpdated())
         m_plannerPeer = planner;
     m_calls.wakeWaiting();
 }
@@ -375,7 +375,7 @@
 void GatewayCore::sendDemand()
 {
     base::Instant now = m_loop.now();
-    if (now < m_nextDemand || !m_plannerPeer || holdsDuty())
+    if (now < m_nextDemand || !m_plannerPeer || isPlanner())
         return;
     m_nextDemand = now + demandInterval;
     m_link->sendTo(*m_plannerPeer, DemandReport { nextSender(), m_calls.demand().summary(now) });
@@ -384,10 +384,10 @@
 void GatewayCore::sendPlan()
 {
     base::Instant now = m_loop.now();
-    if (!holdsDuty() || now < m_nextPlanReport)
+    if (!isPlanner() || now < m_nextPlanReport)
         return;
     m_nextPlanReport = now + planReportInterval;
-    PlanReport report { nextSender(), m_duty.duty().fence(), m_orders.notices(), m_expected };
+    PlanReport report { nextSender(), m_election.leadership().fence(), m_orders.notices(), m_expected };
     m_link->sendToAll(report);
     onPlanReport(report);
 }
@@ -406,7 +406,7 @@
 {
     m_peerDemand[report.sender.instance] = { m_loop.now(), report.demand };
     bool anyWaits = std::any_of(report.demand.begin(), report.demand.end(), [](const TargetDemand& demand) { return demand.waiting > 0; });
-    if (anyWaits && holdsDuty())
+    if (anyWaits && isPlanner())
         soon(m_planTimer, &GatewayCore::planNow);
 }
 
@@ -441,8 +441,8 @@
     m_planFence = report.fence;
     if (report.sender.instance != m_settings.instance) {
         m_plannerPeer = report.sender.instance;
-        if (holdsDuty() && report.fence > m_duty.duty().fence())
-            m_duty.lose("another gateway plans with a newer fence");
+        if (isPlanner() && report.fence > m_election.leadership().fence())
+            m_election.resign("another gateway plans with a newer fence");
     }
     base::Instant until = m_loop.now() + noticeLife;
     for (const auto& notice : report.notices)
@@ -452,15 +452,15 @@
     m_calls.wakeWaiting();
 }
 
-// ---- the planner's duty
+// ---- planner leadership
 
-void GatewayCore::onDutyTaken()
+void GatewayCore::onElected()
 {
-    m_orders.begin(m_duty.duty().fence());
+    m_orders.begin(m_election.leadership().fence());
     m_plannerPeer.reset();
 }
 
-// A new holder of the duty knows the engines' state by the time at which it may give orders.
+// A newly elected planner knows the engines' state by the time at which it may give orders.
 void GatewayCore::readEngines()
 {
     auto state = m_calls.desiredState();
@@ -480,7 +480,7 @@
     if (!state)
         return;
     base::Instant now = m_loop.now();
-    m_duty.settle();
+    m_election.recordLastPlanner();
     m_orders.tick(now);
     std::map<ModelTarget, TargetDemand> demand;
     auto add = [&](const std::vector<TargetDemand>& entries) {
@@ -535,7 +535,7 @@
         { "version", state ? state->version.value() : 0 },
         { "directory_revision", m_mirror.part(StorePart::Text).revision().value() },
         { "upstreams", 0 },
-        { "planner", holdsDuty() },
+        { "planner", isPlanner() },
         { "running", m_calls.running() },
         { "waiting", m_calls.waiting() },
     };
--- a/packages/direct/src/GatewayCore.h
+++ b/packages/direct/src/GatewayCore.h
@@ -3,8 +3,8 @@
 #pragma once
 
 #include "CallDesk.h"
-#include "DutyKeeper.h"
 #include "FleetLink.h"
+#include "LeaderElection.h"
 #include "OrderDesk.h"
 #include "StoreMirror.h"
 #include "toucanstep/direct/DirectGateway.h"
@@ -57,8 +57,8 @@
     // Peers that were heard of late, those behind this gateway's own name first: so gateways ask different ones.
     std::vector<CopySource> copySources() const;
 
-    bool holdsDuty() const { return m_duty.duty().holds(); }
-    void onDutyTaken();
+    bool isPlanner() const { return m_election.leadership().isLeader(); }
+    void onElected();
 
     ReportSender nextSender();
     bool ready() const;
@@ -76,7 +76,7 @@
     OrderDesk m_orders;
     PlacementPlanner m_planner;
     StoreMirror m_mirror;
-    DutyKeeper m_duty;
+    LeaderElection m_election;
     std::unique_ptr<OperatorHandler> m_operatorHandler;
     std::unique_ptr<FleetLink> m_link;
     std::unique_ptr<http1::Server> m_callers;
--- a/packages/direct/src/DutyKeeper.h
+++ b/packages/direct/src/LeaderElection.h
@@ -1,11 +1,11 @@
 // Keeps this gateway's lease and its key in the list of gateways, and seeks, holds and gives up the planner's duty in the
-// store. What is decided is in PlannerDuty; the calls to the store and their answers are here.
+// store. What is decided is in PlannerLeadership; the calls to the store and their answers are here.
 
 #pragma once
 
 #include "toucanstep/direct/DirectGateway.h"
 #include "toucanstep/direct/Directory.h"
-#include "toucanstep/direct/PlannerDuty.h"
+#include "toucanstep/direct/PlannerLeadership.h"
 #include "toucanstep/io/EventLoop.h"
 
 #include <functional>
@@ -21,46 +21,46 @@
 // From a call to the store until it counts as failed.
 constexpr auto storeCallTimeout = std::chrono::milliseconds(900);
 
-class DutyKeeper {
+class LeaderElection {
 public:
     // `onTaken` is called whenever the duty has been taken.
-    DutyKeeper(io::EventLoop&, base::KeyValueStore&, const Directory&, const DirectGatewaySettings&, std::function<void()> onTaken);
+    LeaderElection(io::EventLoop&, base::KeyValueStore&, const Directory&, const DirectGatewaySettings&, std::function<void()> onElected);
 
-    const PlannerDuty& duty() const { return m_duty; }
+    const PlannerLeadership& leadership() const { return m_leadership; }
     // To be called several times a second.
-    void beat();
+    void tick();
     // The process will end: the member's key goes at once. A duty that is held is kept until then: a successor would have to
     // pause, and a process that starts again here takes it up without one.
     void leave();
     // The copy of the store has changed. Returns the planner, if it is another gateway.
     std::optional<base::InstanceId> onDirectoryUpdated();
     // Orders are being given.
-    void settle();
-    void lose(std::string_view why);
+    void recordLastPlanner();
+    void resign(std::string_view why);
 
 private:
     const base::KeyValue* entryOf(std::string_view key) const;
-    DutyRecord record() const;
+    LeadershipRecord record() const;
     void grantLease();
     void renewLease();
-    void join();
-    void seek();
+    void registerMember();
+    void campaign();
 
     io::EventLoop& m_loop;
     base::KeyValueStore& m_store;
     const Directory& m_directory;
     const DirectGatewaySettings& m_settings;
-    std::function<void()> m_onTaken;
-    PlannerDuty m_duty;
+    std::function<void()> m_onElected;
+    PlannerLeadership m_leadership;
     std::optional<base::LeaseId> m_lease;
-    base::Instant m_leaseSent;
-    bool m_leaseCall = false;
-    bool m_joined = false;
-    bool m_joining = false;
-    bool m_seeking = false;
+    base::Instant m_leaseRequestedAt;
+    bool m_leaseRequestPending = false;
+    bool m_registered = false;
+    bool m_registering = false;
+    bool m_campaigning = false;
     bool m_leaving = false;
     base::Instant m_nextRenewal;
-    base::Instant m_nextTry;
+    base::Instant m_nextCampaign;
 };
 
 } // namespace toucanstep::direct
--- a/packages/direct/test/DecisionTest.cpp
+++ b/packages/direct/test/DecisionTest.cpp
@@ -3,7 +3,7 @@
 #include "toucanstep/direct/DesiredState.h"
 #include "toucanstep/direct/Dispatch.h"
 #include "toucanstep/direct/FleetReports.h"
-#include "toucanstep/direct/PlannerDuty.h"
+#include "toucanstep/direct/PlannerLeadership.h"
 #include "toucanstep/testing/Property.h"
 
 #include <CppUTest/TestHarness.h>
@@ -219,80 +219,80 @@
     CHECK_TRUE(state.findRoute("other.example", "/a/") == nullptr);
 }
 
-TEST_GROUP(PlannerDuty)
+TEST_GROUP(PlannerLeadership)
 {
-    PlannerDuty duty { { std::chrono::milliseconds(1500), std::chrono::milliseconds(300), std::chrono::seconds(3) }, base::InstanceId("self"), false };
+    PlannerLeadership leadership { { std::chrono::milliseconds(1500), std::chrono::milliseconds(300), std::chrono::seconds(3) }, base::InstanceId("self"), false };
     const base::InstanceId self { "self" };
     const base::InstanceId other { "other" };
 };
 
-TEST(PlannerDuty, TheLeaseCountsFromTheMomentTheRenewalWasSent)
+TEST(PlannerLeadership, TheLeaseCountsFromTheMomentTheRenewalWasSent)
 {
     // Two gateways would order the same engine: a machine stands still while the answer to its renewal is on the way, and
     // counts the lease from the moment at which it reads that answer.
-    duty.onAcquired(base::Epoch(4), start, start, true);
-    CHECK_TRUE(duty.mayOrder(start + std::chrono::milliseconds(1199)));
-    CHECK_FALSE(duty.mayOrder(start + std::chrono::milliseconds(1200)));
-    duty.onRenewed(start + std::chrono::milliseconds(500));
-    CHECK_TRUE(duty.mayOrder(start + std::chrono::milliseconds(1600)));
-    CHECK_FALSE(duty.mayOrder(start + std::chrono::milliseconds(1700)));
+    leadership.onAcquired(base::Epoch(4), start, start, true);
+    CHECK_TRUE(leadership.maySendOrders(start + std::chrono::milliseconds(1199)));
+    CHECK_FALSE(leadership.maySendOrders(start + std::chrono::milliseconds(1200)));
+    leadership.onRenewed(start + std::chrono::milliseconds(500));
+    CHECK_TRUE(leadership.maySendOrders(start + std::chrono::milliseconds(1600)));
+    CHECK_FALSE(leadership.maySendOrders(start + std::chrono::milliseconds(1700)));
 }
 
-TEST(PlannerDuty, ASuccessorWaitsWhereEnginesDoNotCheckFences)
+TEST(PlannerLeadership, ASuccessorWaitsWhereEnginesDoNotCheckFences)
 {
-    duty.onAcquired(base::Epoch(4), start, start, false);
-    duty.onRenewed(start + std::chrono::seconds(10));
-    CHECK_FALSE(duty.mayOrder(start + std::chrono::milliseconds(2999)));
-    CHECK_TRUE(duty.mayOrder(start + std::chrono::seconds(3)));
+    leadership.onAcquired(base::Epoch(4), start, start, false);
+    leadership.onRenewed(start + std::chrono::seconds(10));
+    CHECK_FALSE(leadership.maySendOrders(start + std::chrono::milliseconds(2999)));
+    CHECK_TRUE(leadership.maySendOrders(start + std::chrono::seconds(3)));
 }
 
-TEST(PlannerDuty, ALostDutyOrdersNothing)
+TEST(PlannerLeadership, ALostDutyOrdersNothing)
 {
-    duty.onAcquired(base::Epoch(4), start, start, true);
-    duty.onLost();
-    CHECK_FALSE(duty.mayOrder(start));
+    leadership.onAcquired(base::Epoch(4), start, start, true);
+    leadership.onLost();
+    CHECK_FALSE(leadership.maySendOrders(start));
 }
 
 // All gateways were killed and came back within a second. Nothing was loaded for five more: the old planner's key stood until
 // its lease ended, another gateway took the duty then, and paused although the last planner could have gone on.
-TEST(PlannerDuty, TheLastPlannerTakesItsDutyUpAgainWithoutAPause)
-{
-    DutyRecord record { self, self };
-    CHECK_TRUE(duty.isOpen(record, start));
-    CHECK_TRUE(duty.goesOn(record));
-    duty.onAcquired(base::Epoch(4), start, start, duty.goesOn(record));
-    CHECK_TRUE(duty.mayOrder(start));
-    CHECK_FALSE(duty.unsettled());
+TEST(PlannerLeadership, TheLastPlannerTakesItsDutyUpAgainWithoutAPause)
+{
+    LeadershipRecord record { self, self };
+    CHECK_TRUE(leadership.mayCampaign(record, start));
+    CHECK_TRUE(leadership.canResume(record));
+    leadership.onAcquired(base::Epoch(4), start, start, leadership.canResume(record));
+    CHECK_TRUE(leadership.maySendOrders(start));
+    CHECK_FALSE(leadership.needsRecording());
 }
 
-TEST(PlannerDuty, OthersLeaveAnOpenDutyToTheLastPlannerForAMoment)
+TEST(PlannerLeadership, OthersLeaveAnOpenDutyToTheLastPlannerForAMoment)
 {
-    DutyRecord record { std::nullopt, other };
-    CHECK_FALSE(duty.isOpen(record, start));
-    CHECK_FALSE(duty.isOpen(record, start + std::chrono::milliseconds(399)));
-    CHECK_TRUE(duty.isOpen(record, start + std::chrono::milliseconds(400)));
-    CHECK_FALSE(duty.goesOn(record));
+    LeadershipRecord record { std::nullopt, other };
+    CHECK_FALSE(leadership.mayCampaign(record, start));
+    CHECK_FALSE(leadership.mayCampaign(record, start + std::chrono::milliseconds(399)));
+    CHECK_TRUE(leadership.mayCampaign(record, start + std::chrono::milliseconds(400)));
+    CHECK_FALSE(leadership.canResume(record));
     // Somebody had it meanwhile: the moment begins anew.
-    CHECK_FALSE(duty.isOpen({ other, other }, start + std::chrono::seconds(1)));
-    CHECK_FALSE(duty.isOpen(record, start + std::chrono::seconds(2)));
+    CHECK_FALSE(leadership.mayCampaign({ other, other }, start + std::chrono::seconds(1)));
+    CHECK_FALSE(leadership.mayCampaign(record, start + std::chrono::seconds(2)));
 }
 
 // A gateway took the duty from another, was killed while it paused, and came back: it must not take itself for the last that
 // gave orders, or the orders of two planners would mingle at an engine.
-TEST(PlannerDuty, AProcessThatStartsAgainWithinItsPausePausesAnew)
-{
-    DutyRecord paused { self, base::InstanceId() };
-    CHECK_TRUE(duty.isOpen(paused, start));
-    CHECK_FALSE(duty.goesOn(paused));
-    duty.onAcquired(base::Epoch(4), start, start, duty.goesOn(paused));
-    CHECK_FALSE(duty.mayOrder(start + std::chrono::seconds(1)));
-    CHECK_TRUE(duty.unsettled());
+TEST(PlannerLeadership, AProcessThatStartsAgainWithinItsPausePausesAnew)
+{
+    LeadershipRecord paused { self, base::InstanceId() };
+    CHECK_TRUE(leadership.mayCampaign(paused, start));
+    CHECK_FALSE(leadership.canResume(paused));
+    leadership.onAcquired(base::Epoch(4), start, start, leadership.canResume(paused));
+    CHECK_FALSE(leadership.maySendOrders(start + std::chrono::seconds(1)));
+    CHECK_TRUE(leadership.needsRecording());
 }
 
-TEST(PlannerDuty, OnlyAFirstStartNeedsNoPauseWithoutALastPlanner)
+TEST(PlannerLeadership, OnlyAFirstStartNeedsNoPauseWithoutALastPlanner)
 {
-    CHECK_FALSE(duty.goesOn({}));
-    CHECK_TRUE(PlannerDuty({}, self, true).goesOn({}));
+    CHECK_FALSE(leadership.canResume({}));
+    CHECK_TRUE(PlannerLeadership({}, self, true).canResume({}));
 }
 
 TEST_GROUP(FleetReports) {};
