--- a/packages/direct/include/toucanstep/direct/PlacementPlan.h
+++ b/packages/direct/include/toucanstep/direct/PlacementPlan.h
@@ -65,7 +65,7 @@
     std::vector<PlannedEngine> engines;
     std::vector<TargetDemand> demand;
     // Loads from the weight store that may run at once; above that each takes longer in proportion and none ends earlier.
-    size_t storeLoadsAtOnce = 4;
+    size_t maxStoreLoads = 4;
 };
 
 struct PlannedOrder {
--- a/packages/direct/include/toucanstep/direct/StoreSpeed.h
+++ b/packages/direct/include/toucanstep/direct/StoreConcurrencyLimit.h
@@ -12,38 +12,38 @@
 
 namespace toucanstep::direct {
 
-class StoreSpeed {
+class StoreConcurrencyLimit {
 public:
-    size_t loadsAtOnce() const { return m_atOnce; }
+    size_t maxConcurrentLoads() const { return m_limit; }
 
     // A load ended after `took`; at the store's full speed it takes `expected`.
     void onLoadEnded(base::Duration expected, base::Duration took)
     {
         // An end is seen some hundred milliseconds late.
-        constexpr double slow = 1.3;
-        constexpr double full = 1.12;
+        constexpr double slowRatio = 1.3;
+        constexpr double fullSpeedRatio = 1.12;
         if (expected <= base::Duration::zero())
             return;
         double ratio = base::toSeconds(took) / base::toSeconds(expected);
-        if (ratio > slow) {
-            m_atOnce = std::max<size_t>(least, m_atOnce - 1);
-            m_fullSpeedEnds = 0;
-        } else if (ratio < full && ++m_fullSpeedEnds >= endsBeforeRaise) {
-            m_atOnce = std::min(most, m_atOnce + 1);
-            m_fullSpeedEnds = 0;
+        if (ratio > slowRatio) {
+            m_limit = std::max<size_t>(minLimit, m_limit - 1);
+            m_fullSpeedLoads = 0;
+        } else if (ratio < fullSpeedRatio && ++m_fullSpeedLoads >= loadsBeforeRaise) {
+            m_limit = std::min(maxLimit, m_limit + 1);
+            m_fullSpeedLoads = 0;
         }
     }
 
 private:
     // Two are always allowed: with one, a slow engine would hold up all others.
-    static constexpr size_t least = 2;
-    static constexpr size_t most = 8;
+    static constexpr size_t minLimit = 2;
+    static constexpr size_t maxLimit = 8;
     // The users' stores carry 2 to 4 at full speed.
-    static constexpr size_t first = 4;
-    static constexpr size_t endsBeforeRaise = 6;
+    static constexpr size_t initialLimit = 4;
+    static constexpr size_t loadsBeforeRaise = 6;
 
-    size_t m_atOnce = first;
-    size_t m_fullSpeedEnds = 0;
+    size_t m_limit = initialLimit;
+    size_t m_fullSpeedLoads = 0;
 };
 
 } // namespace toucanstep::direct
--- a/packages/direct/src/OrderDesk.cpp
+++ b/packages/direct/src/EngineController.cpp
@@ -1,4 +1,4 @@
-#include "OrderDesk.h"
+#include "EngineController.h"
 
 #include "toucanstep/base/LogLine.h"
 
@@ -14,7 +14,7 @@
 
 } // namespace
 
-OrderDesk::OrderDesk(io::EventLoop& loop, http1::Client& client, const WireFormat& format, std::string holder, std::function<void()> onFenced, std::function<void()> onChange)
+EngineController::EngineController(io::EventLoop& loop, http1::Client& client, const WireFormat& format, std::string holder, std::function<void()> onFenced, std::function<void()> onChange)
     : m_loop(loop)
     , m_client(client)
     , m_format(format)
@@ -24,15 +24,15 @@
 {
 }
 
-OrderDesk::~OrderDesk() = default;
+EngineController::~EngineController() = default;
 
-void OrderDesk::begin(base::Epoch fence)
+void EngineController::startTerm(base::Epoch fence)
 {
     m_fence = fence;
     m_engines.clear();
 }
 
-void OrderDesk::onUpstream(const UpstreamDescription& description)
+void EngineController::onUpstream(const UpstreamDescription& description)
 {
     auto found = m_engines.find(description.id);
     if (found == m_engines.end())
@@ -44,12 +44,12 @@
     found->second->setDescription(description);
 }
 
-void OrderDesk::onUpstreamGone(const base::UpstreamId& id)
+void EngineController::onUpstreamGone(const base::UpstreamId& id)
 {
     m_engines.erase(id);
 }
 
-std::vector<PlannedEngine> OrderDesk::engines(const UpstreamTable& table, const base::ServiceId& service, base::Instant now)
+std::vector<PlannedEngine> EngineController::engines(const UpstreamTable& table, const base::ServiceId& service, base::Instant now)
 {
     std::vector<PlannedEngine> planned;
     for (const auto& [id, entry] : table.all()) {
@@ -63,18 +63,18 @@
     return planned;
 }
 
-void OrderDesk::tick(base::Instant now)
+void EngineController::tick(base::Instant now)
 {
     for (auto& [id, engine] : m_engines) {
         if (engine->reportDue(now))
-            readReport(engine);
+            fetchReport(engine);
     }
 }
 
-void OrderDesk::readReport(const EnginePointer& engine)
+void EngineController::fetchReport(const EnginePointer& engine)
 {
-    engine->onReportAsked();
-    ask(engine, m_format.reportRequest(engine->description().id), [this](const EnginePointer& target, const base::Outcome<http1::FetchedAnswer>& outcome) {
+    engine->onReportRequested();
+    sendRequest(engine, m_format.reportRequest(engine->description().id), [this](const EnginePointer& target, const base::Outcome<http1::FetchedAnswer>& outcome) {
         const auto* answer = std::get_if<http1::FetchedAnswer>(&outcome);
         auto report = answer && answer->status == statusOk ? m_format.readReport(answer->body) : std::nullopt;
         if (!report) {
@@ -82,12 +82,12 @@
             target->onReportFailed(m_loop.now());
             return;
         }
-        if (target->onReport(*report, m_loop.now(), m_storeSpeed))
+        if (target->onReport(*report, m_loop.now(), m_storeLimit))
             m_onChange();
     });
 }
 
-void OrderDesk::ask(const EnginePointer& engine, const ControlRequest& request, Answered handler)
+void EngineController::sendRequest(const EnginePointer& engine, const ControlRequest& request, ResponseHandler handler)
 {
     const UpstreamDescription& described = engine->description();
     http1::fetch(m_loop, m_client, { described.id.value(), described.endpoint }, request.method, request.target, request.headers, request.body, m_loop.now() + controlTimeout,
@@ -97,7 +97,7 @@
         });
 }
 
-void OrderDesk::execute(const PlannedOrder& planned, base::Instant now)
+void EngineController::execute(const PlannedOrder& planned, base::Instant now)
 {
     auto found = m_engines.find(planned.upstream);
     if (found == m_engines.end() || found->second->blocked())
@@ -108,7 +108,7 @@
     base::LogLine("order_sent").add("upstream", planned.upstream).add("order", planned.kind == OrderKind::Load ? "load" : "unload").add("model", planned.target.model).add("adapter", planned.target.adapter).add("source", toText(planned.source)).add("expected_ms", base::toMilliseconds(planned.expected)).add("expected_orders", order.expectedOrders).add("fence", m_fence);
     if (planned.kind == OrderKind::Unload)
         m_onChange();
-    ask(found->second, m_format.orderRequest(order), [this, planned](const EnginePointer& target, const base::Outcome<http1::FetchedAnswer>& answered) {
+    sendRequest(found->second, m_format.orderRequest(order), [this, planned](const EnginePointer& target, const base::Outcome<http1::FetchedAnswer>& answered) {
         OrderOutcome outcome = OrderOutcome::Unknown;
         if (const auto* answer = std::get_if<http1::FetchedAnswer>(&answered))
             outcome = m_format.readOrderOutcome(answer->status);
@@ -118,7 +118,7 @@
     });
 }
 
-void OrderDesk::onOrderAnswered(const EnginePointer& engine, const PlannedOrder& order, OrderOutcome outcome)
+void EngineController::onOrderAnswered(const EnginePointer& engine, const PlannedOrder& order, OrderOutcome outcome)
 {
     base::Instant now = m_loop.now();
     base::LogLine("order_answered").add("upstream", order.upstream).add("model", order.target.model).add("adapter", order.target.adapter).add("outcome", static_cast<int64_t>(outcome));
@@ -131,13 +131,13 @@
         return;
     m_loop.at(now + adapterLoadTime, [this, order, weak = std::weak_ptr(engine)] {
         if (EnginePointer target = weak.lock()) {
-            target->tell(order.target, true, m_loop.now());
+            target->announce(order.target, true, m_loop.now());
             m_onChange();
         }
     });
 }
 
-std::vector<LoadedNotice> OrderDesk::notices() const
+std::vector<LoadedNotice> EngineController::notices() const
 {
     std::vector<LoadedNotice> list;
     for (const auto& [id, engine] : m_engines)
--- a/packages/direct/src/OrderDesk.h
+++ b/packages/direct/src/EngineController.h
@@ -17,14 +17,14 @@
 
 namespace toucanstep::direct {
 
-class OrderDesk {
+class EngineController {
 public:
     // `onFenced` is called where an engine has met a newer holder's order, `onChange` whenever notices have changed.
-    OrderDesk(io::EventLoop&, http1::Client&, const WireFormat&, std::string holder, std::function<void()> onFenced, std::function<void()> onChange);
-    ~OrderDesk();
+    EngineController(io::EventLoop&, http1::Client&, const WireFormat&, std::string holder, std::function<void()> onFenced, std::function<void()> onChange);
+    ~EngineController();
 
     // The duty was taken: nothing that was known before counts.
-    void begin(base::Epoch fence);
+    void startTerm(base::Epoch fence);
     void onUpstream(const UpstreamDescription&);
     void onUpstreamGone(const base::UpstreamId&);
     // The engines of a service as the planner sees them. Reads the reports of those that are not known yet.
@@ -34,14 +34,14 @@
     void tick(base::Instant now);
     // What gateways have to know before the list shows it.
     std::vector<LoadedNotice> notices() const;
-    size_t storeLoadsAtOnce() const { return m_storeSpeed.loadsAtOnce(); }
+    size_t maxStoreLoads() const { return m_storeLimit.maxConcurrentLoads(); }
 
 private:
     using EnginePointer = std::shared_ptr<EngineRecord>;
-    using Answered = std::function<void(const EnginePointer&, const base::Outcome<http1::FetchedAnswer>&)>;
-    void readReport(const EnginePointer&);
+    using ResponseHandler = std::function<void(const EnginePointer&, const base::Outcome<http1::FetchedAnswer>&)>;
+    void fetchReport(const EnginePointer&);
     // Calls `handler` with the answer unless the engine's record has gone meanwhile.
-    void ask(const EnginePointer&, const ControlRequest&, Answered handler);
+    void sendRequest(const EnginePointer&, const ControlRequest&, ResponseHandler handler);
     void onOrderAnswered(const EnginePointer&, const PlannedOrder&, OrderOutcome);
 
     io::EventLoop& m_loop;
@@ -52,7 +52,7 @@
     std::function<void()> m_onChange;
     base::Epoch m_fence;
     std::map<base::UpstreamId, EnginePointer> m_engines;
-    StoreSpeed m_storeSpeed;
+    StoreConcurrencyLimit m_storeLimit;
 };
 
 } // namespace toucanstep::direct
--- a/packages/direct/src/EngineRecord.cpp
+++ b/packages/direct/src/EngineRecord.cpp
@@ -55,7 +55,7 @@
     return state;
 }
 
-void EngineRecord::onReportAsked()
+void EngineRecord::onReportRequested()
 {
     m_reportDue.reset();
     m_calling = true;
@@ -67,7 +67,7 @@
     m_reportDue = now + reportInterval;
 }
 
-bool EngineRecord::onReport(const EngineReport& report, base::Instant now, StoreSpeed& speed)
+bool EngineRecord::onReport(const EngineReport& report, base::Instant now, StoreConcurrencyLimit& storeLimit)
 {
     m_calling = false;
     // The address may belong to another start of the engine by now; the list will say so.
@@ -88,7 +88,7 @@
         return false;
     }
     takeState(report, now);
-    endRunning(now, speed);
+    endRunning(now, storeLimit);
     settleOpen(now);
     return true;
 }
@@ -105,17 +105,17 @@
     m_known = true;
 }
 
-void EngineRecord::endRunning(base::Instant now, StoreSpeed& speed)
+void EngineRecord::endRunning(base::Instant now, StoreConcurrencyLimit& storeLimit)
 {
     if (!m_running)
         return;
     bool load = m_running->kind == OrderKind::Load;
     if (load && m_running->source == LoadSource::WeightStore)
-        speed.onLoadEnded(m_running->expected, now - m_runningSince);
+        storeLimit.onLoadEnded(m_running->expected, now - m_runningSince);
     bool done = m_loaded.contains(m_running->model) == load;
     base::LogLine("order_ended").add("upstream", m_description.id).add("order", load ? "load" : "unload").add("model", m_running->model).add("source", toText(m_running->source)).add("took_ms", base::toMilliseconds(now - m_runningSince)).add("done", done ? "yes" : "no");
     if (done && load)
-        tell({ m_running->model, AdapterId() }, true, now);
+        announce({ m_running->model, AdapterId() }, true, now);
     m_running.reset();
 }
 
@@ -126,7 +126,7 @@
         return;
     bool done = holds(m_open->target) == (m_open->kind == OrderKind::Load);
     base::LogLine("open_order_settled").add("upstream", m_description.id).add("model", m_open->target.model).add("adapter", m_open->target.adapter).add("done", done ? "yes" : "no");
-    tell(m_open->target, holds(m_open->target), now);
+    announce(m_open->target, holds(m_open->target), now);
     m_open.reset();
 }
 
@@ -140,7 +140,7 @@
     m_calling = true;
     // Calls stop going to what is taken away before the engine would turn them down.
     if (planned.kind == OrderKind::Unload)
-        tell(planned.target, false, now);
+        announce(planned.target, false, now);
     if (planned.target.adapter.empty()) {
         m_running = RunningOrder { planned.kind, planned.target.model, planned.source, planned.expected, now + planned.expected };
         m_runningSince = now;
@@ -203,7 +203,7 @@
     }
 }
 
-void EngineRecord::tell(const ModelTarget& target, bool loaded, base::Instant now)
+void EngineRecord::announce(const ModelTarget& target, bool loaded, base::Instant now)
 {
     m_told[target] = { loaded, now + shortestNotice };
 }
--- a/packages/direct/src/EngineRecord.h
+++ b/packages/direct/src/EngineRecord.h
@@ -9,7 +9,7 @@
 #pragma once
 
 #include "toucanstep/direct/PlacementPlan.h"
-#include "toucanstep/direct/StoreSpeed.h"
+#include "toucanstep/direct/StoreConcurrencyLimit.h"
 #include "toucanstep/direct/UpstreamTable.h"
 
 #include <map>
@@ -32,17 +32,17 @@
     // The engine as the planner sees it.
     PlannedEngine planned(const UpstreamEntry&, base::Instant now);
 
-    void onReportAsked();
+    void onReportRequested();
     void onReportFailed(base::Instant now);
     // Returns whether the report says something new; `speed` learns from loads that have ended.
-    bool onReport(const EngineReport&, base::Instant now, StoreSpeed& speed);
+    bool onReport(const EngineReport&, base::Instant now, StoreConcurrencyLimit& storeLimit);
 
     // The order to send for what the planner wants.
     EngineOrder onSending(const PlannedOrder&, base::Instant now);
     // What the engine has answered, or that it has not.
     void onAnswered(const PlannedOrder&, OrderOutcome, base::Instant now);
     // Calls may be sent for the target from now on, or not any more.
-    void tell(const ModelTarget&, bool loaded, base::Instant now);
+    void announce(const ModelTarget&, bool loaded, base::Instant now);
     // What gateways have to know before the list shows it.
     void appendNotices(std::vector<LoadedNotice>&, base::Instant now);
 
@@ -54,7 +54,7 @@
 
     bool holds(const ModelTarget&) const;
     void takeState(const EngineReport&, base::Instant now);
-    void endRunning(base::Instant now, StoreSpeed&);
+    void endRunning(base::Instant now, StoreConcurrencyLimit&);
     void settleOpen(base::Instant now);
     void readAnew(base::Instant now);
     void onAccepted(const PlannedOrder&, bool underWay, base::Instant now);
--- a/packages/direct/src/GatewayCore.cpp
+++ b/packages/direct/src/GatewayCore.cpp
@@ -125,7 +125,7 @@
     , m_storeClient(loop)
     , m_store(makeStore(loop, m_storeClient, watchPace(m_settings)))
     , m_calls(loop, m_client, *m_format, m_metrics, callSettings(m_settings))
-    , m_orders(
+    , m_engineController(
           loop, m_client, *m_format, m_settings.instance.value(), [this] { m_election.resign("an engine has met a newer fence"); }, [this] { soon(m_tellTimer, &GatewayCore::tellPlanNow); soon(m_planTimer, &GatewayCore::planNow); })
     , m_planner(PlacementSettings {})
     , m_mirror(loop, *m_store, m_client, mirrorSettings(m_settings, *m_format), *this)
@@ -250,7 +250,7 @@
         base::UpstreamId id(key.substr(m_format->upstreamPrefix().size()));
         base::LogLine("upstream_gone").add("upstream", id);
         m_calls.upstreams().remove(id);
-        m_orders.onUpstreamGone(id);
+        m_engineController.onUpstreamGone(id);
         m_client.forget(id.value());
     } else if (key.starts_with(memberPrefix)) {
         updatePeers();
@@ -305,7 +305,7 @@
     if (!known || known->description.draining != description->draining || known->description.start != description->start) {
         base::LogLine("upstream_seen").add("upstream", description->id).add("service", description->service).add("endpoint", description->endpoint.text()).add("draining", description->draining ? "yes" : "no").add("models", description->loaded.size());
     }
-    m_orders.onUpstream(*description);
+    m_engineController.onUpstream(*description);
     m_calls.upstreams().put(std::move(*description), m_loop.now());
 }
 
@@ -387,7 +387,7 @@
     if (!isPlanner() || now < m_nextPlanReport)
         return;
     m_nextPlanReport = now + planReportInterval;
-    PlanReport report { nextSender(), m_election.leadership().fence(), m_orders.notices(), m_expected };
+    PlanReport report { nextSender(), m_election.leadership().fence(), m_engineController.notices(), m_expected };
     m_link->sendToAll(report);
     onPlanReport(report);
 }
@@ -456,7 +456,7 @@
 
 void GatewayCore::onElected()
 {
-    m_orders.begin(m_election.leadership().fence());
+    m_engineController.startTerm(m_election.leadership().fence());
     m_plannerPeer.reset();
 }
 
@@ -469,9 +469,9 @@
     base::Instant now = m_loop.now();
     for (const auto& service : state->services) {
         if (service.engine)
-            m_orders.engines(m_calls.upstreams(), service.id, now);
+            m_engineController.engines(m_calls.upstreams(), service.id, now);
     }
-    m_orders.tick(now);
+    m_engineController.tick(now);
 }
 
 void GatewayCore::plan()
@@ -481,7 +481,7 @@
         return;
     base::Instant now = m_loop.now();
     m_election.recordLastPlanner();
-    m_orders.tick(now);
+    m_engineController.tick(now);
     std::map<ModelTarget, TargetDemand> demand;
     auto add = [&](const std::vector<TargetDemand>& entries) {
         for (const auto& entry : entries) {
@@ -505,15 +505,15 @@
         PlacementInput input;
         input.now = now;
         input.traits = &*service.engine;
-        input.storeLoadsAtOnce = m_orders.storeLoadsAtOnce();
-        input.engines = m_orders.engines(m_calls.upstreams(), service.id, now);
+        input.maxStoreLoads = m_engineController.maxStoreLoads();
+        input.engines = m_engineController.engines(m_calls.upstreams(), service.id, now);
         for (const auto& [target, entry] : demand) {
             if (service.engine->findModel(target.model))
                 input.demand.push_back(entry);
         }
         Placement placement = m_planner.plan(input);
         for (const auto& order : placement.orders)
-            m_orders.execute(order, now);
+            m_engineController.execute(order, now);
         m_expected.insert(m_expected.end(), placement.expected.begin(), placement.expected.end());
     }
 }
--- a/packages/direct/src/GatewayCore.h
+++ b/packages/direct/src/GatewayCore.h
@@ -3,9 +3,9 @@
 #pragma once
 
 #include "CallDesk.h"
+#include "EngineController.h"
 #include "FleetLink.h"
 #include "LeaderElection.h"
-#include "OrderDesk.h"
 #include "StoreMirror.h"
 #include "toucanstep/direct/DirectGateway.h"
 
@@ -73,7 +73,7 @@
     http1::Client m_storeClient;
     std::unique_ptr<base::KeyValueStore> m_store;
     CallDesk m_calls;
-    OrderDesk m_orders;
+    EngineController m_engineController;
     PlacementPlanner m_planner;
     StoreMirror m_mirror;
     LeaderElection m_election;
--- a/packages/direct/src/PlacementPlan.cpp
+++ b/packages/direct/src/PlacementPlan.cpp
@@ -335,7 +335,7 @@
         // While callers wait, what nobody waits for leaves the store to them.
         if (!want.pressing() && m_callersWait)
             return false;
-        way.now = way.now && (way.engine->reserved == want.model->id || m_storeLoads < m_input.storeLoadsAtOnce);
+        way.now = way.now && (way.engine->reserved == want.model->id || m_storeLoads < m_input.maxStoreLoads);
         return true;
     }
 
--- a/packages/direct/test/EngineRecordTest.cpp
+++ b/packages/direct/test/EngineRecordTest.cpp
@@ -36,7 +36,7 @@
 TEST_GROUP(EngineRecord)
 {
     EngineRecord record { description(), start };
-    StoreSpeed speed;
+    StoreConcurrencyLimit storeLimit;
     UpstreamEntry listed;
 
     void setup() override { listed.description = description(); }
@@ -59,14 +59,14 @@
 // report showed that the planner's own order had not landed, so it was sent once more, with the new count of orders.
 TEST(EngineRecord, AnOrderWithoutAnswerIsNotSentAgainButPlannedAnew)
 {
-    record.onReportAsked();
-    record.onReport(report(7, { AdapterId("a1") }), start, speed);
+    record.onReportRequested();
+    record.onReport(report(7, { AdapterId("a1") }), start, storeLimit);
     record.onSending(order(OrderKind::Load, adapter("mine")), start);
     record.onAnswered(order(OrderKind::Load, adapter("mine")), OrderOutcome::Unknown, start + second);
     CHECK_TRUE(record.blocked());
 
-    record.onReportAsked();
-    CHECK_TRUE(record.onReport(report(8, { AdapterId("a1"), AdapterId("landed-late") }), start + 2 * second, speed));
+    record.onReportRequested();
+    CHECK_TRUE(record.onReport(report(8, { AdapterId("a1"), AdapterId("landed-late") }), start + 2 * second, storeLimit));
 
     CHECK_FALSE(record.blocked());
     UNSIGNED_LONGS_EQUAL(2, adaptersPlannedFor(start + 2 * second));
@@ -77,24 +77,24 @@
 // stopped before it was sent, and nobody said that they may go there again.
 TEST(EngineRecord, AnUnloadThatDidNotHappenLetsCallsComeAgain)
 {
-    record.onReportAsked();
-    record.onReport(report(0, { AdapterId("a1") }), start, speed);
+    record.onReportRequested();
+    record.onReport(report(0, { AdapterId("a1") }), start, storeLimit);
     record.onSending(order(OrderKind::Unload, adapter("a1")), start);
     CHECK_FALSE(told(adapter("a1"), start));
     record.onAnswered(order(OrderKind::Unload, adapter("a1")), OrderOutcome::Unknown, start + second);
-    record.onReportAsked();
-    record.onReport(report(0, { AdapterId("a1") }), start + 2 * second, speed);
+    record.onReportRequested();
+    record.onReport(report(0, { AdapterId("a1") }), start + 2 * second, storeLimit);
     CHECK_TRUE(told(adapter("a1"), start + 2 * second));
 }
 
 TEST(EngineRecord, AReportFromBeforeAnAcceptedOrderSaysNothing)
 {
-    record.onReportAsked();
-    record.onReport(report(0, {}), start, speed);
+    record.onReportRequested();
+    record.onReport(report(0, {}), start, storeLimit);
     record.onSending(order(OrderKind::Load, adapter("a1")), start);
     record.onAnswered(order(OrderKind::Load, adapter("a1")), OrderOutcome::Accepted, start);
-    record.onReportAsked();
-    CHECK_FALSE(record.onReport(report(0, {}), start + std::chrono::milliseconds(100), speed));
+    record.onReportRequested();
+    CHECK_FALSE(record.onReport(report(0, {}), start + std::chrono::milliseconds(100), storeLimit));
     UNSIGNED_LONGS_EQUAL(1, adaptersPlannedFor(start));
 }
 
@@ -134,7 +134,7 @@
 {
     CHECK_PROPERTY([] {
         LateEngine engine;
-        StoreSpeed speed;
+        StoreConcurrencyLimit storeLimit;
         UpstreamEntry listed;
         listed.description = description();
         EngineRecord planner(description(), start);
@@ -145,8 +145,8 @@
             AdapterId chosen(std::string(1, *rc::gen::inRange('a', 'g')));
             int event = *rc::gen::inRange(0, 8);
             if (planner.reportDue(now)) {
-                planner.onReportAsked();
-                planner.onReport(report(engine.orders, engine.adapters), now, speed);
+                planner.onReportRequested();
+                planner.onReport(report(engine.orders, engine.adapters), now, storeLimit);
             }
             if (event == 0) {
                 planner = EngineRecord(description(), now);
--- a/packages/direct/test/PlacementPlanTest.cpp
+++ b/packages/direct/test/PlacementPlanTest.cpp
@@ -1,5 +1,5 @@
 #include "toucanstep/direct/PlacementPlan.h"
-#include "toucanstep/direct/StoreSpeed.h"
+#include "toucanstep/direct/StoreConcurrencyLimit.h"
 
 #include <CppUTest/TestHarness.h>
 #include <algorithm>
@@ -337,19 +337,19 @@
     expectOrders({});
 }
 
-TEST_GROUP(StoreSpeed) {};
+TEST_GROUP(StoreConcurrencyLimit) {};
 
-TEST(StoreSpeed, LoadsThatTakeTwiceAsLongLowerTheNumberAtOnce)
+TEST(StoreConcurrencyLimit, LoadsThatTakeTwiceAsLongLowerTheNumberAtOnce)
 {
     // Callers wait for the sum of all loads: above the store's limit more loads at once only end later.
-    StoreSpeed speed;
-    size_t first = speed.loadsAtOnce();
-    speed.onLoadEnded(std::chrono::seconds(6), std::chrono::seconds(12));
-    CHECK_TRUE(speed.loadsAtOnce() < first);
+    StoreConcurrencyLimit storeLimit;
+    size_t first = storeLimit.maxConcurrentLoads();
+    storeLimit.onLoadEnded(std::chrono::seconds(6), std::chrono::seconds(12));
+    CHECK_TRUE(storeLimit.maxConcurrentLoads() < first);
     for (int load = 0; load < 20; ++load)
-        speed.onLoadEnded(std::chrono::seconds(6), std::chrono::seconds(12));
-    LONGS_EQUAL(2, speed.loadsAtOnce());
+        storeLimit.onLoadEnded(std::chrono::seconds(6), std::chrono::seconds(12));
+    LONGS_EQUAL(2, storeLimit.maxConcurrentLoads());
     for (int load = 0; load < 12; ++load)
-        speed.onLoadEnded(std::chrono::seconds(6), std::chrono::milliseconds(6200));
-    LONGS_EQUAL(4, speed.loadsAtOnce());
+        storeLimit.onLoadEnded(std::chrono::seconds(6), std::chrono::milliseconds(6200));
+    LONGS_EQUAL(4, storeLimit.maxConcurrentLoads());
 }
