--- a/packages/direct/include/toucanstep/direct/UpstreamTable.h
+++ b/packages/direct/include/toucanstep/direct/UpstreamTable.h
@@ -23,7 +23,7 @@
     double failures = 0;
     base::Instant failuresAsOf;
     // The last byte that came from it, and since when calls have been waiting for one.
-    base::Instant lastHeard;
+    base::Instant lastReceived;
     std::optional<base::Instant> awaitingSince;
     // No connection could be opened; not tried again before.
     base::Instant avoidUntil;
@@ -41,7 +41,7 @@
     const std::map<base::UpstreamId, UpstreamEntry>& all() const { return m_entries; }
 
     // What the planner did is known before the list shows it; a notice holds until the list must have caught up.
-    void notice(const LoadedNotice&, base::Instant until);
+    void addNotice(const LoadedNotice&, base::Instant until);
     bool holds(const UpstreamEntry&, const ModelTarget&, base::Instant now) const;
     LoadedModels loadedAt(const UpstreamEntry&, base::Instant now) const;
     void expireNotices(base::Instant now);
@@ -51,12 +51,12 @@
     void onAnswerBegun(const base::UpstreamId&);
     // A call is no longer there; `begun` if onAnswerBegun() was called for it.
     void onEnded(const base::UpstreamId&, bool begun);
-    void onHeard(const base::UpstreamId&, base::Instant now);
+    void onBytesReceived(const base::UpstreamId&, base::Instant now);
     void onFailure(const base::UpstreamId&, base::Instant now);
     void onUnreachable(const base::UpstreamId&, base::Instant now);
     static double recentFailures(const UpstreamEntry&, base::Instant now);
     // Calls have been waiting there for a while and not a byte of any has come.
-    static bool silent(const UpstreamEntry&, base::Instant now);
+    static bool isUnresponsive(const UpstreamEntry&, base::Instant now);
 
 private:
     struct Notice {
--- a/packages/direct/src/CallDesk.cpp
+++ b/packages/direct/src/CallDesk.cpp
@@ -205,7 +205,7 @@
         if (!run->underWay())
             continue;
         const UpstreamEntry* entry = m_upstreams.find(run->upstream());
-        if (!entry || UpstreamTable::silent(*entry, time))
+        if (!entry || UpstreamTable::isUnresponsive(*entry, time))
             run->onUpstreamSilent();
     }
     if (!m_waiting.empty())
@@ -235,7 +235,7 @@
 
 void CallDesk::heardFrom(const base::UpstreamId& upstream)
 {
-    m_upstreams.onHeard(upstream, now());
+    m_upstreams.onBytesReceived(upstream, now());
     m_crashes.onHeard(upstream, now());
 }
 
--- a/packages/direct/src/Dispatch.cpp
+++ b/packages/direct/src/Dispatch.cpp
@@ -49,7 +49,7 @@
     auto cost = static_cast<double>(entry.awaiting());
     cost += crowdWeight * static_cast<double>(entry.inFlight()) / static_cast<double>(entry.description.slots);
     cost += failureWeight * UpstreamTable::recentFailures(entry, now);
-    if (UpstreamTable::silent(entry, now))
+    if (UpstreamTable::isUnresponsive(entry, now))
         cost += silentWeight;
     if (entry.description.domain != query.domain)
         cost += otherDomainWeight;
--- a/packages/direct/src/GatewayCore.cpp
+++ b/packages/direct/src/GatewayCore.cpp
@@ -446,7 +446,7 @@
     }
     base::Instant until = m_loop.now() + noticeLife;
     for (const auto& notice : report.notices)
-        m_calls.upstreams().notice(notice, until);
+        m_calls.upstreams().addNotice(notice, until);
     m_calls.setExpectedLoads(report.expected);
     m_calls.notePlanner();
     m_calls.wakeWaiting();
--- a/packages/direct/src/UpstreamTable.cpp
+++ b/packages/direct/src/UpstreamTable.cpp
@@ -12,7 +12,7 @@
 constexpr auto avoidUnreachable = std::chrono::milliseconds(700);
 // Engines make an event every few milliseconds and answer plain calls within tens of them; one that runs calls and
 // sends nothing for this long has stopped or cannot be reached.
-constexpr auto silentAfter = std::chrono::milliseconds(1000);
+constexpr auto unresponsiveAfter = std::chrono::milliseconds(1000);
 
 } // namespace
 
@@ -28,7 +28,7 @@
         isNew = true;
     }
     if (isNew)
-        entry.lastHeard = now;
+        entry.lastReceived = now;
     entry.description = std::move(description);
 }
 
@@ -44,7 +44,7 @@
     return found == m_entries.end() ? nullptr : &found->second;
 }
 
-void UpstreamTable::notice(const LoadedNotice& notice, base::Instant until)
+void UpstreamTable::addNotice(const LoadedNotice& notice, base::Instant until)
 {
     m_notices[notice.upstream][notice.target] = { notice.start, notice.loaded, until };
 }
@@ -53,7 +53,7 @@
 {
     if (target.empty())
         return true;
-    auto told = [&](const ModelTarget& wanted) -> std::optional<bool> {
+    auto noticed = [&](const ModelTarget& wanted) -> std::optional<bool> {
         auto notices = m_notices.find(entry.description.id);
         if (notices == m_notices.end())
             return std::nullopt;
@@ -64,11 +64,11 @@
     };
     auto model = entry.description.loaded.find(target.model);
     bool listed = model != entry.description.loaded.end();
-    if (!told({ target.model, AdapterId() }).value_or(listed))
+    if (!noticed({ target.model, AdapterId() }).value_or(listed))
         return false;
     if (target.adapter.empty())
         return true;
-    return told(target).value_or(listed && model->second.contains(target.adapter));
+    return noticed(target).value_or(listed && model->second.contains(target.adapter));
 }
 
 LoadedModels UpstreamTable::loadedAt(const UpstreamEntry& entry, base::Instant now) const
@@ -139,12 +139,12 @@
         entry->awaitingSince.reset();
 }
 
-void UpstreamTable::onHeard(const base::UpstreamId& id, base::Instant now)
+void UpstreamTable::onBytesReceived(const base::UpstreamId& id, base::Instant now)
 {
     UpstreamEntry* entry = find(id);
     if (!entry)
         return;
-    entry->lastHeard = now;
+    entry->lastReceived = now;
     if (entry->awaitingSince)
         entry->awaitingSince = now;
 }
@@ -173,9 +173,9 @@
     return entry.failures * std::exp2(-halfLives);
 }
 
-bool UpstreamTable::silent(const UpstreamEntry& entry, base::Instant now)
+bool UpstreamTable::isUnresponsive(const UpstreamEntry& entry, base::Instant now)
 {
-    return entry.awaitingSince && now - *entry.awaitingSince > silentAfter;
+    return entry.awaitingSince && now - *entry.awaitingSince > unresponsiveAfter;
 }
 
 } // namespace toucanstep::direct
--- a/packages/direct/test/DecisionTest.cpp
+++ b/packages/direct/test/DecisionTest.cpp
@@ -162,7 +162,7 @@
     for (int count = 0; count < 3; ++count)
         table.onDispatched(base::UpstreamId("two"), now);
     STRCMP_EQUAL("two", chosen(asks("m")).c_str());
-    table.onHeard(base::UpstreamId("one"), now);
+    table.onBytesReceived(base::UpstreamId("one"), now);
     STRCMP_EQUAL("one", chosen(asks("m")).c_str());
 }
 
@@ -180,8 +180,8 @@
 TEST(Dispatch, ThePlannersNoticeGoesBeforeTheListUntilItExpires)
 {
     table.put(engine("one", "m"), now);
-    table.notice({ base::UpstreamId("one"), StartId(), { base::ModelId("n"), AdapterId() }, true }, now + std::chrono::seconds(1));
-    table.notice({ base::UpstreamId("one"), StartId(), { base::ModelId("m"), AdapterId() }, false }, now + std::chrono::seconds(1));
+    table.addNotice({ base::UpstreamId("one"), StartId(), { base::ModelId("n"), AdapterId() }, true }, now + std::chrono::seconds(1));
+    table.addNotice({ base::UpstreamId("one"), StartId(), { base::ModelId("m"), AdapterId() }, false }, now + std::chrono::seconds(1));
     STRCMP_EQUAL("one", chosen(asks("n")).c_str());
     CHECK_TRUE(obstacle(asks("m")) == Obstacle::NotLoaded);
     now += std::chrono::seconds(1);
@@ -191,7 +191,7 @@
 TEST(Dispatch, AnotherStartOfAnEngineHasNothingOfTheOldOne)
 {
     table.put(engine("one", "m"), now);
-    table.notice({ base::UpstreamId("one"), StartId(), { base::ModelId("n"), AdapterId() }, true }, now + std::chrono::seconds(9));
+    table.addNotice({ base::UpstreamId("one"), StartId(), { base::ModelId("n"), AdapterId() }, true }, now + std::chrono::seconds(9));
     table.onFailure(base::UpstreamId("one"), now);
     UpstreamDescription again = engine("one", "m");
     again.start = StartId(7);
