--- a/packages/direct/include/toucanstep/direct/PlacementPlan.h
+++ b/packages/direct/include/toucanstep/direct/PlacementPlan.h
@@ -1,10 +1,10 @@
-// Decides which models and adapters the engines are ordered to load and unload.
+// Decides which models and adapters the engines load and unload.
 //
-// The planner sees each engine with what it holds, the order that it is carrying out, and the demand over all gateways. It
-// gives at most one model order to an engine at a time. Loads from the weight store are the scarce part: only so many run
-// at full speed, so models that are loaded nowhere go first, those with callers waiting before the others, and a second
-// copy of a busy model comes before an idle model's first one only if its copies are full. Memory is counted with what is
-// under way, and what is being unloaded counts until the engine shows it gone, so no order asks for more than fits.
+// The planner's input is the state of each engine, the order it is executing, and the demand summed over all gateways. An
+// engine gets at most one model order at a time. Loads from the weight store are the scarce resource, since only a few run
+// at full speed. Models that are loaded nowhere and have waiting callers come first, then further replicas of saturated
+// models, then models that are loaded nowhere and have no waiting callers, then further replicas of busy models. A model
+// occupies memory from the order to load it until a report no longer lists it, so no order exceeds an engine's memory.
 
 #pragma once
 
@@ -28,12 +28,12 @@
 
 std::string_view toText(LoadSource);
 
-// A model order that an engine has been given and has not shown as done.
+// A model order that was sent to an engine and that no report shows as done yet.
 struct RunningOrder {
     OrderKind kind = OrderKind::Load;
     base::ModelId model;
     LoadSource source = LoadSource::WeightStore;
-    // The time that it takes by the text.
+    // Load time from the model's configuration.
     base::Duration expected {};
     base::Instant expectedEnd;
 };
@@ -41,22 +41,23 @@
 struct PlannedEngine {
     base::UpstreamId id;
     base::FailureDomain domain;
-    // What it holds, with adapters whose load was ordered.
+    // Includes adapters whose load has been ordered.
     LoadedModels loaded;
     std::set<base::ModelId> inHostMemory;
     std::set<base::ModelId> onDisk;
     int64_t slots = 1;
     int64_t inFlight = 0;
     std::optional<RunningOrder> running;
-    // Takes no orders for now: it drains, its state is being read, or its last order's outcome is not known.
+    // Accepts no orders for now: it is draining, a request to it is pending, its state has not been reported, or the outcome of
+    // its last order is unknown.
     bool blocked = false;
-    // It will be gone soon: what it holds does not count as held.
-    bool leaving = false;
-    size_t adaptersInTransit = 0;
-    // Adapters that it was ordered to unload and that calls still use.
-    std::set<ModelTarget> adaptersLeaving;
-    // It carries out an order of the planner before: what it loads is not known, and it may come from the weight store.
-    bool busyUnknown = false;
+    // Will be gone soon; its models are not counted as replicas.
+    bool draining = false;
+    size_t adaptersLoading = 0;
+    // Adapters with an unload order that calls may still use.
+    std::set<ModelTarget> adaptersUnloading;
+    // Executes an order of a previous planner: the model is not known, and it may be loaded from the weight store.
+    bool runsUnknownOrder = false;
 };
 
 struct PlacementInput {
@@ -64,7 +65,7 @@
     const EngineTraits* traits = nullptr;
     std::vector<PlannedEngine> engines;
     std::vector<TargetDemand> demand;
-    // Loads from the weight store that may run at once; above that each takes longer in proportion and none ends earlier.
+    // Concurrent loads from the weight store. Above this number each load slows down in proportion and none ends earlier.
     size_t maxStoreLoads = 4;
 };
 
@@ -78,33 +79,33 @@
 
 struct Placement {
     std::vector<PlannedOrder> orders;
-    // For targets with demand that no engine holds.
+    // For targets with demand that are being loaded or that no engine holds.
     std::vector<ExpectedLoad> expected;
 };
 
 struct PlacementSettings {
-    // Adapters that may be on their way to one engine at once (the engines' page).
-    size_t adaptersInTransit = 4;
-    // One more copy of a model is wanted for each such part of an engine's slots in use.
-    double slotsPerCopy = 0.5;
-    // An engine reads prompts one after the other. Calls that stand in that queue, on average, are added up over a model's
-    // copies; one more copy is wanted for each such part of an engine's time that they show to be in use.
-    double readingTimePerCopy = 0.6;
-    // Where this much of its copies' time is in use, callers wait as for a model without a free slot.
-    double readingTimeOverrun = 0.75;
-    // A model with more calls than this a second has two copies, so that the loss of one engine does not stop it.
-    double callsPerSecondForTwo = 4;
-    // A model that nobody has used for this long may lose its last copy to one that callers wait for. Far below the time
-    // between two calls for a rare model: memory for all of them is short, and a load from an engine's disk takes less
-    // than a second.
+    // Concurrent adapter loads per engine, as documented for the engines.
+    size_t maxAdaptersLoading = 4;
+    // A model gets one replica per this fraction of an engine's slots that its calls occupy.
+    double slotsPerReplica = 0.5;
+    // An engine processes prompts sequentially. The share of time spent on prefill is derived from the average number of calls
+    // in the prefill queues of a model's replicas; the model gets one replica per this fraction of an engine's time.
+    double prefillUtilizationPerReplica = 0.6;
+    // Above this average prefill utilization of its replicas a model counts as saturated, as one without a free slot does.
+    double saturatedPrefillUtilization = 0.75;
+    // A model with a higher call rate gets at least two replicas, so that it survives the loss of one engine.
+    double callsPerSecondForTwoReplicas = 4;
+    // A model unused for this long may lose its last replica to a model with waiting callers. The value is far below the
+    // interval between calls for a rare model, since memory cannot hold all models and a load from an engine's disk takes
+    // less than a second.
     base::Duration idleBeforeEviction = std::chrono::milliseconds(700);
-    // From the order to unload an idle model until the engine has shown that it is gone.
+    // From the order to unload an idle model until a report no longer lists it.
     base::Duration evictionTime = std::chrono::milliseconds(250);
-    // An order that takes longer than expected is expected to take this much more, and a way to load a model that has to
-    // wait for it is taken only if it is sooner all the same.
-    base::Duration overdue = std::chrono::seconds(1);
-    // How long room that was made for a model is kept for it.
-    base::Duration reservation = std::chrono::seconds(2);
+    // Least remaining time assumed for a running order, also for an overdue one. It counts toward the time to ready of a
+    // load that has to wait for that order.
+    base::Duration overdueAllowance = std::chrono::seconds(1);
+    // How long memory freed by an eviction stays reserved for the model it was freed for.
+    base::Duration reservationTime = std::chrono::seconds(2);
 };
 
 class PlacementPlanner {
@@ -113,8 +114,8 @@
     Placement plan(const PlacementInput&);
 
 private:
-    struct Want;
-    class Round;
+    struct ReplicaRequest;
+    class PlanningPass;
 
     struct Reservation {
         base::ModelId model;
@@ -123,8 +124,8 @@
 
     PlacementSettings m_settings;
     std::map<base::UpstreamId, Reservation> m_reserved;
-    // When a target was last seen with demand.
-    std::map<ModelTarget, base::Instant> m_lastWanted;
+    // The last time at which a target had waiting or running calls.
+    std::map<ModelTarget, base::Instant> m_lastUsed;
 };
 
 } // namespace toucanstep::direct
--- a/packages/direct/include/toucanstep/direct/PlannerLeadership.h
+++ b/packages/direct/include/toucanstep/direct/PlannerLeadership.h
@@ -1,13 +1,14 @@
-// Which gateway gives orders to engines: at most one at a time, and none within a pause after another one may have.
+// Decides which gateway is the planner and sends orders to engines: at most one at a time, and a new one only after a pause
+// in which the previous planner's orders may still arrive.
 //
-// The duty is a key in the store under a lease. Its holder counts the lease from the moment at which it sent the renewal,
-// by a clock that also runs while the machine stands still, and stops early by a margin; the next holder waits for the
-// pause. The revision at which the key was written is the fence: it grows with each holder.
+// Leadership is a key in the store under a lease. The planner counts the lease from the time at which it sent the renewal,
+// by a clock that also runs while the machine is suspended, and stops a margin before the lease ends. Its successor waits
+// for the hand-over pause. The revision at which the key was written is the fencing token and grows with each planner.
 //
-// A second key, without a lease, names the gateway that gave the last orders. That gateway need not pause: after all
-// processes were killed, after an outage of the store in which its lease ended, or when it starts again, it goes on at once.
-// So others leave an open duty to it for a moment. The second key is empty from the moment at which another holder takes the
-// duty until that one has given an order, and during that time everybody pauses.
+// A second key, without a lease, names the gateway that sent the last orders. That gateway resumes without a pause after all
+// processes were killed, after an outage of the store in which its lease ended, or after a restart. Other gateways therefore
+// leave a vacant leadership to it for a short time. The second key is empty from the election of another planner until that
+// planner sends an order; during that time every gateway has to pause.
 
 #pragma once
 
@@ -20,39 +21,39 @@
 namespace toucanstep::direct {
 
 struct PlannerLeadershipSettings {
-    // The lease's length; a holder that dies is replaced no sooner.
+    // Lease duration; a planner that dies is not replaced earlier.
     base::Duration lease = std::chrono::milliseconds(1500);
-    // Given up this long before the lease ends: an order that is sent then must still arrive within it.
+    // Orders stop this long before the lease ends, so that the last one still arrives within it.
     base::Duration margin = std::chrono::milliseconds(300);
-    // No order within this time after another holder's last one may have been sent.
+    // Time without orders after the last one that another planner may have sent.
     base::Duration handOverPause = std::chrono::seconds(3);
-    // For the last planner to take an open duty again before others do: a few calls to the store.
+    // Time for the last planner to take a vacant leadership back before others try: a few calls to the store.
     base::Duration lastPlannerHeadStart = std::chrono::milliseconds(400);
 };
 
-// What the store says of the duty.
+// The leadership keys in the store.
 struct LeadershipRecord {
     std::optional<base::InstanceId> holder;
-    // Gave the last orders; empty while a new holder has yet to give one. Not set before the first planner.
+    // Sent the last orders. Empty until a new planner sends its first order, and not set before the first planner.
     std::optional<base::InstanceId> lastPlanner;
 };
 
 class PlannerLeadership {
 public:
-    // `firstStart`: the whole fleet starts for the first time, and no planner was before.
+    // `firstStart`: the whole fleet starts for the first time, so there was no planner before.
     PlannerLeadership(PlannerLeadershipSettings, base::InstanceId self, bool firstStart);
 
-    // Whether this gateway may try to take the duty now. To be asked several times a second.
+    // Whether this gateway may try to become the planner now. Has to be called several times a second.
     bool mayCampaign(const LeadershipRecord&, base::Instant now);
-    // Nobody else can have given an order since this machine did.
+    // No other gateway can have sent an order since this one did.
     bool canResume(const LeadershipRecord&) const;
-    // The key is this gateway's, written at `fence`.
+    // This gateway wrote the leadership key at revision `fence`.
     void onAcquired(base::Epoch fence, base::Instant renewalSent, base::Instant now, bool canResume);
-    // The store has yet to be told that this gateway gives orders.
+    // The store does not name this gateway as the last planner yet.
     bool needsRecording() const { return m_fence && !m_recorded; }
-    void setRecorded(bool settled) { m_recorded = settled; }
+    void setRecorded(bool recorded) { m_recorded = recorded; }
     void onRenewed(base::Instant renewalSent);
-    // The lease has ended, another holder was seen, or an engine has met a higher fence.
+    // The lease has ended, another planner was seen, or an engine has seen a higher fencing token.
     void onLost();
     bool isLeader() const { return m_fence.has_value(); }
     bool maySendOrders(base::Instant now) const;
@@ -62,7 +63,7 @@
     PlannerLeadershipSettings m_settings;
     base::InstanceId m_self;
     bool m_firstStart = false;
-    // Since when nobody has been seen to hold the duty.
+    // Since when no planner has been seen.
     std::optional<base::Instant> m_vacantSince;
     bool m_recorded = false;
     std::optional<base::Epoch> m_fence;
--- a/packages/direct/include/toucanstep/direct/StoreConcurrencyLimit.h
+++ b/packages/direct/include/toucanstep/direct/StoreConcurrencyLimit.h
@@ -1,7 +1,7 @@
-// Finds out how many loads the weight store carries at full speed at once, from how long loads have taken.
+// Adaptive limit on concurrent loads from the weight store, derived from the measured load times.
 //
-// Above its limit the store shares its speed: each load takes longer in proportion, and none ends earlier. The text does
-// not say the limit, so it is begun with a guess, lowered where loads take longer than they should, and raised slowly.
+// Above its capacity the store divides its throughput: each load slows down in proportion, and none ends earlier. The
+// configuration does not state the capacity, so the limit starts at an estimate, drops when a load is slow, and rises slowly.
 
 #pragma once
 
@@ -16,10 +16,10 @@
 public:
     size_t maxConcurrentLoads() const { return m_limit; }
 
-    // A load ended after `took`; at the store's full speed it takes `expected`.
+    // `expected` is the duration at the store's full speed.
     void onLoadEnded(base::Duration expected, base::Duration took)
     {
-        // An end is seen some hundred milliseconds late.
+        // The end of a load is seen some hundred milliseconds late, so neither ratio is 1.
         constexpr double slowRatio = 1.3;
         constexpr double fullSpeedRatio = 1.12;
         if (expected <= base::Duration::zero())
@@ -35,10 +35,10 @@
     }
 
 private:
-    // Two are always allowed: with one, a slow engine would hold up all others.
+    // With only one load at a time, a slow engine would hold up all others.
     static constexpr size_t minLimit = 2;
     static constexpr size_t maxLimit = 8;
-    // The users' stores carry 2 to 4 at full speed.
+    // The stores of known deployments sustain 2 to 4 loads at full speed.
     static constexpr size_t initialLimit = 4;
     static constexpr size_t loadsBeforeRaise = 6;
 
--- a/packages/direct/include/toucanstep/direct/Upstream.h
+++ b/packages/direct/include/toucanstep/direct/Upstream.h
@@ -1,4 +1,4 @@
-// What the platform's list and the planner's announcements say of one upstream.
+// The state of one upstream as published in the platform's list, its reports, and the orders sent to it.
 
 #pragma once
 
@@ -15,10 +15,10 @@
 
 namespace toucanstep::direct {
 
-// Tells one start of an upstream from the next under the same id.
+// Distinguishes the starts of an upstream's process under the same id.
 using StartId = base::StrongNumber<struct StartIdTag>;
 
-// Models by name, each with the adapters that are loaded for it.
+// Loaded models, each with its loaded adapters.
 using LoadedModels = std::map<base::ModelId, std::set<AdapterId>>;
 
 struct UpstreamDescription {
@@ -30,28 +30,28 @@
     int64_t slots = 1;
     bool draining = false;
     LoadedModels loaded;
-    // Models whose weights lie in the engine's host memory, and on its disk.
+    // Models whose weights are cached in the engine's host memory or on its disk.
     std::set<base::ModelId> inHostMemory;
     std::set<base::ModelId> onDisk;
-    // Orders accepted since its start.
+    // Number of orders accepted since the start.
     int64_t orders = 0;
 };
 
-// Calls at an upstream.
+// Calls in flight at an upstream.
 struct UpstreamLoad {
     int64_t inFlight = 0;
-    // Of these, calls whose answer has not begun: they stand in the queue for the reading of their prompts.
+    // Calls whose response has not begun; their prompts are queued or being processed.
     int64_t awaiting = 0;
 };
 
 // An engine's own report of its state.
 struct EngineReport {
-    // Where the report says it.
+    // Set if the report includes it.
     std::optional<StartId> start;
     LoadedModels loaded;
     std::set<base::ModelId> inHostMemory;
     std::set<base::ModelId> onDisk;
-    // Adapters on their way, which count toward the capacity.
+    // Adapters being loaded; they count toward the adapter capacity.
     std::set<ModelTarget> pending;
     int64_t orders = 0;
     bool busy = false;
@@ -66,25 +66,25 @@
     base::UpstreamId upstream;
     OrderKind kind = OrderKind::Load;
     ModelTarget target;
-    // Orders that the engine must have accepted before this one; another count refuses it.
+    // The engine rejects the order unless it has accepted exactly this many orders before.
     int64_t expectedOrders = 0;
     std::string holder;
     base::Epoch fence;
 };
 
 enum class OrderOutcome {
-    // It is being carried out.
+    // The engine is executing the order.
     Accepted,
-    // It held before, or was carried out at once.
+    // The requested state was in place already, or the order was completed immediately.
     AlreadyHolds,
-    // Another order is under way, or the count differs: read the report again.
+    // Another order is running, or the order count differs; the state must be read again.
     Conflict,
-    // A newer holder has given an order.
+    // The engine has seen an order with a newer fencing token.
     Fenced,
-    // Another engine has the address.
+    // The address now belongs to another engine.
     OtherEngine,
     Refused,
-    // It may have been accepted, or may be carried out later.
+    // No response: the order may have been accepted, or may be executed later.
     Unknown,
 };
 
--- a/packages/direct/include/toucanstep/direct/UpstreamTable.h
+++ b/packages/direct/include/toucanstep/direct/UpstreamTable.h
@@ -1,5 +1,5 @@
-// The upstreams that a gateway may send calls to: what the list says of them, what the planner has told since, how many
-// calls run there over all gateways, and how well they answered lately.
+// The upstreams that a gateway may send calls to: their entries in the list, newer notices of the planner, their calls in
+// flight over all gateways, and their recent failures.
 
 #pragma once
 
@@ -17,15 +17,15 @@
 struct UpstreamEntry {
     UpstreamDescription description;
     UpstreamLoad own;
-    // Of the other gateways, as last reported.
+    // Calls of the other gateways, as last reported.
     UpstreamLoad peers;
-    // Failures of late: each adds one, and the sum halves every failureHalfLife.
+    // Exponentially decaying count: each failure adds one, and the sum halves every failureHalfLifeSeconds.
     double failures = 0;
     base::Instant failuresAsOf;
-    // The last byte that came from it, and since when calls have been waiting for one.
+    // When the last byte was received, and since when calls have been waiting for one.
     base::Instant lastReceived;
     std::optional<base::Instant> awaitingSince;
-    // No connection could be opened; not tried again before.
+    // Not used before this time, since a connection could not be opened.
     base::Instant avoidUntil;
 
     int64_t inFlight() const { return own.inFlight + peers.inFlight; }
@@ -34,13 +34,13 @@
 
 class UpstreamTable {
 public:
-    // A description with another start mark belongs to a new process: what was known of the old one is dropped.
+    // A different start id means a new process; the state of the old one is dropped, except for this gateway's calls in flight.
     void put(UpstreamDescription, base::Instant now);
     void remove(const base::UpstreamId&);
     UpstreamEntry* find(const base::UpstreamId&);
     const std::map<base::UpstreamId, UpstreamEntry>& all() const { return m_entries; }
 
-    // What the planner did is known before the list shows it; a notice holds until the list must have caught up.
+    // A notice overrides the list until `until`, since the list shows the planner's changes later.
     void addNotice(const LoadedNotice&, base::Instant until);
     bool holds(const UpstreamEntry&, const ModelTarget&, base::Instant now) const;
     LoadedModels loadedAt(const UpstreamEntry&, base::Instant now) const;
@@ -49,13 +49,13 @@
     void setPeersLoad(const std::map<base::UpstreamId, UpstreamLoad>&);
     void onDispatched(const base::UpstreamId&, base::Instant now);
     void onAnswerBegun(const base::UpstreamId&);
-    // A call is no longer there; `begun` if onAnswerBegun() was called for it.
+    // A call has left the upstream; `begun` if onAnswerBegun() was called for it.
     void onEnded(const base::UpstreamId&, bool begun);
     void onBytesReceived(const base::UpstreamId&, base::Instant now);
     void onFailure(const base::UpstreamId&, base::Instant now);
     void onUnreachable(const base::UpstreamId&, base::Instant now);
     static double recentFailures(const UpstreamEntry&, base::Instant now);
-    // Calls have been waiting there for a while and not a byte of any has come.
+    // Calls have been in flight for a while without a byte received.
     static bool isUnresponsive(const UpstreamEntry&, base::Instant now);
 
 private:
--- a/packages/direct/src/EngineController.cpp
+++ b/packages/direct/src/EngineController.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// An engine answers an order within milliseconds; one that is silent for this long may still carry it out.
+// Engines answer an order within milliseconds. An order that is not answered in this time may still be executed.
 constexpr auto controlTimeout = std::chrono::milliseconds(1000);
 constexpr int statusOk = 200;
 
@@ -58,7 +58,7 @@
         EnginePointer& engine = m_engines[id];
         if (!engine)
             engine = std::make_shared<EngineRecord>(entry.description, now);
-        planned.push_back(engine->planned(entry, now));
+        planned.push_back(engine->planningState(entry, now));
     }
     return planned;
 }
--- a/packages/direct/src/EngineController.h
+++ b/packages/direct/src/EngineController.h
@@ -1,7 +1,6 @@
-// Carries the planner's orders to engines and reads the engines' reports.
+// Sends the planner's orders to engines and fetches the engines' reports.
 //
-// Only the gateway that has the planner's duty uses it. One call at a time is sent to an engine; what is known of it is in
-// its EngineRecord.
+// Only the gateway that is the planner uses it. An engine gets one request at a time; its EngineRecord holds its state.
 
 #pragma once
 
@@ -19,20 +18,20 @@
 
 class EngineController {
 public:
-    // `onFenced` is called where an engine has met a newer holder's order, `onChange` whenever notices have changed.
+    // `onFenced` is called when an engine has seen a newer planner's order, `onChange` when the notices have changed.
     EngineController(io::EventLoop&, http1::Client&, const WireFormat&, std::string holder, std::function<void()> onFenced, std::function<void()> onChange);
     ~EngineController();
 
-    // The duty was taken: nothing that was known before counts.
+    // Starts a new term as the planner: drops the state of all engines.
     void startTerm(base::Epoch fence);
     void onUpstream(const UpstreamDescription&);
     void onUpstreamGone(const base::UpstreamId&);
-    // The engines of a service as the planner sees them. Reads the reports of those that are not known yet.
+    // The planner's input for the engines of a service. Adds records for new engines, whose reports are then due.
     std::vector<PlannedEngine> engines(const UpstreamTable&, const base::ServiceId&, base::Instant now);
     void execute(const PlannedOrder&, base::Instant now);
-    // Reads the reports that are due.
+    // Fetches the reports that are due.
     void tick(base::Instant now);
-    // What gateways have to know before the list shows it.
+    // Changes that the list may not show yet.
     std::vector<LoadedNotice> notices() const;
     size_t maxStoreLoads() const { return m_storeLimit.maxConcurrentLoads(); }
 
@@ -40,7 +39,7 @@
     using EnginePointer = std::shared_ptr<EngineRecord>;
     using ResponseHandler = std::function<void(const EnginePointer&, const base::Outcome<http1::FetchedAnswer>&)>;
     void fetchReport(const EnginePointer&);
-    // Calls `handler` with the answer unless the engine's record has gone meanwhile.
+    // Calls `handler` with the response unless the engine's record has been removed meanwhile.
     void sendRequest(const EnginePointer&, const ControlRequest&, ResponseHandler handler);
     void onOrderAnswered(const EnginePointer&, const PlannedOrder&, OrderOutcome);
 
--- a/packages/direct/src/EngineRecord.cpp
+++ b/packages/direct/src/EngineRecord.cpp
@@ -8,16 +8,17 @@
 
 namespace {
 
-// A report shows the state of a hundred milliseconds ago: one read sooner than this after an order does not show it.
+// A report shows the state of about 100 ms ago, so one fetched earlier than this after an order does not include it.
 constexpr auto reportLag = std::chrono::milliseconds(130);
-// From then on a report counts even if it shows fewer orders than were accepted.
-constexpr auto reportSettled = std::chrono::milliseconds(500);
-// Between two reports while an adapter waits for the end of the calls that use it.
-constexpr auto leavingInterval = std::chrono::milliseconds(300);
-// Between two reports while the end of an order is awaited.
+// After this time a report is applied even if it shows fewer orders than were accepted.
+constexpr auto staleReportWindow = std::chrono::milliseconds(500);
+// Time between reports while an adapter waits for the end of the calls that use it.
+constexpr auto unloadReportInterval = std::chrono::milliseconds(300);
+// Time between reports while an order is running.
 constexpr auto reportInterval = std::chrono::milliseconds(80);
-// A notice is repeated until the list shows the same, and at least for one interval of the engines' writes to it.
-constexpr auto shortestNotice = std::chrono::milliseconds(2500);
+// A notice is repeated until the list shows the same state, and at least for one interval between the engines' updates of
+// the list.
+constexpr auto minNoticeTime = std::chrono::milliseconds(2500);
 
 bool holdsTarget(const LoadedModels& loaded, const ModelTarget& target)
 {
@@ -35,42 +36,42 @@
 
 bool EngineRecord::holds(const ModelTarget& target) const { return holdsTarget(m_loaded, target); }
 
-PlannedEngine EngineRecord::planned(const UpstreamEntry& entry, base::Instant now)
+PlannedEngine EngineRecord::planningState(const UpstreamEntry& entry, base::Instant now)
 {
-    std::erase_if(m_inTransit, [&](const auto& transit) { return transit.second <= now; });
+    std::erase_if(m_loadingAdapters, [&](const auto& loading) { return loading.second <= now; });
     PlannedEngine state;
     state.id = m_description.id;
     state.domain = entry.description.domain;
-    state.loaded = m_known ? m_loaded : entry.description.loaded;
+    state.loaded = m_stateKnown ? m_loaded : entry.description.loaded;
     state.inHostMemory = m_inHostMemory;
     state.onDisk = m_onDisk;
     state.slots = entry.description.slots;
     state.inFlight = entry.inFlight();
     state.running = m_running;
     state.blocked = blocked();
-    state.leaving = entry.description.draining;
-    state.adaptersInTransit = m_inTransit.size();
-    state.adaptersLeaving = m_leaving;
-    state.busyUnknown = m_busyUnknown;
+    state.draining = entry.description.draining;
+    state.adaptersLoading = m_loadingAdapters.size();
+    state.adaptersUnloading = m_unloadingAdapters;
+    state.runsUnknownOrder = m_runsUnknownOrder;
     return state;
 }
 
 void EngineRecord::onReportRequested()
 {
     m_reportDue.reset();
-    m_calling = true;
+    m_requestPending = true;
 }
 
 void EngineRecord::onReportFailed(base::Instant now)
 {
-    m_calling = false;
+    m_requestPending = false;
     m_reportDue = now + reportInterval;
 }
 
 bool EngineRecord::onReport(const EngineReport& report, base::Instant now, StoreConcurrencyLimit& storeLimit)
 {
-    m_calling = false;
-    // The address may belong to another start of the engine by now; the list will say so.
+    m_requestPending = false;
+    // The address may belong to another start of the engine by now; the list will show it.
     if (report.start && *report.start != m_description.start) {
         base::LogLine("engine_report_of_another_start").add("upstream", m_description.id).add("listed", m_description.start).add("reported", *report.start);
         m_reportDue = now + reportLag;
@@ -78,34 +79,34 @@
     }
     m_inHostMemory = report.inHostMemory;
     m_onDisk = report.onDisk;
-    m_busyUnknown = report.busy && !m_running;
-    // An older state than that after the last accepted order says nothing new. A count that stays lower means that an
-    // order was accepted without being counted, as a second unload of the same adapter is: then the engine is right.
-    bool old = report.orders < m_orders && now < m_reportsCountFrom;
+    m_runsUnknownOrder = report.busy && !m_running;
+    // A report older than the last accepted order is ignored. A count that stays lower means that an order was accepted
+    // without being counted, as a second unload of the same adapter is; the engine's count is used then.
+    bool old = report.orders < m_acceptedOrders && now < m_staleReportsUntil;
     if (old || report.busy) {
-        base::LogLine("engine_report_early").add("upstream", m_description.id).add("orders", report.orders).add("expected", m_orders).add("busy", report.busy ? "yes" : "no");
+        base::LogLine("engine_report_early").add("upstream", m_description.id).add("orders", report.orders).add("expected", m_acceptedOrders).add("busy", report.busy ? "yes" : "no");
         m_reportDue = now + reportInterval;
         return false;
     }
-    takeState(report, now);
-    endRunning(now, storeLimit);
-    settleOpen(now);
+    applyReport(report, now);
+    finishRunningOrder(now, storeLimit);
+    resolveOrder(now);
     return true;
 }
 
-void EngineRecord::takeState(const EngineReport& report, base::Instant now)
+void EngineRecord::applyReport(const EngineReport& report, base::Instant now)
 {
-    m_orders = report.orders;
+    m_acceptedOrders = report.orders;
     m_loaded = report.loaded;
-    std::erase_if(m_leaving, [&](const ModelTarget& target) { return !holds(target); });
-    if (!m_leaving.empty())
-        m_reportDue = now + leavingInterval;
+    std::erase_if(m_unloadingAdapters, [&](const ModelTarget& target) { return !holds(target); });
+    if (!m_unloadingAdapters.empty())
+        m_reportDue = now + unloadReportInterval;
     for (const auto& pending : report.pending)
         m_loaded[pending.model].insert(pending.adapter);
-    m_known = true;
+    m_stateKnown = true;
 }
 
-void EngineRecord::endRunning(base::Instant now, StoreConcurrencyLimit& storeLimit)
+void EngineRecord::finishRunningOrder(base::Instant now, StoreConcurrencyLimit& storeLimit)
 {
     if (!m_running)
         return;
@@ -119,15 +120,15 @@
     m_running.reset();
 }
 
-// The report counts the order, or something newer, or the order has not landed. In each case it tells what the engine holds.
-void EngineRecord::settleOpen(base::Instant now)
+// The report includes the order or a newer one, or the order was not accepted. In each case it shows the engine's state.
+void EngineRecord::resolveOrder(base::Instant now)
 {
-    if (!m_open)
+    if (!m_unresolvedOrder)
         return;
-    bool done = holds(m_open->target) == (m_open->kind == OrderKind::Load);
-    base::LogLine("open_order_settled").add("upstream", m_description.id).add("model", m_open->target.model).add("adapter", m_open->target.adapter).add("done", done ? "yes" : "no");
-    announce(m_open->target, holds(m_open->target), now);
-    m_open.reset();
+    bool done = holds(m_unresolvedOrder->target) == (m_unresolvedOrder->kind == OrderKind::Load);
+    base::LogLine("open_order_settled").add("upstream", m_description.id).add("model", m_unresolvedOrder->target.model).add("adapter", m_unresolvedOrder->target.adapter).add("done", done ? "yes" : "no");
+    announce(m_unresolvedOrder->target, holds(m_unresolvedOrder->target), now);
+    m_unresolvedOrder.reset();
 }
 
 EngineOrder EngineRecord::onSending(const PlannedOrder& planned, base::Instant now)
@@ -136,9 +137,9 @@
     order.upstream = planned.upstream;
     order.kind = planned.kind;
     order.target = planned.target;
-    order.expectedOrders = m_orders;
-    m_calling = true;
-    // Calls stop going to what is taken away before the engine would turn them down.
+    order.expectedOrders = m_acceptedOrders;
+    m_requestPending = true;
+    // Stops calls for the target before the engine starts to reject them.
     if (planned.kind == OrderKind::Unload)
         announce(planned.target, false, now);
     if (planned.target.adapter.empty()) {
@@ -150,42 +151,43 @@
 
 void EngineRecord::onAnswered(const PlannedOrder& order, OrderOutcome outcome, base::Instant now)
 {
-    m_calling = false;
+    m_requestPending = false;
     switch (outcome) {
     case OrderOutcome::Accepted:
         onAccepted(order, true, now);
         return;
     case OrderOutcome::AlreadyHolds:
-        // An adapter that no call uses goes at once, and counts as an order; anything else held before and counts nothing.
+        // The unload of an adapter that no call uses is completed at once and counted as an order. In every other case the
+        // requested state was in place already and nothing was counted.
         if (order.kind == OrderKind::Unload && !order.target.adapter.empty())
             onAccepted(order, false, now);
         else
-            readAnew(now);
+            requireReport(now);
         return;
     case OrderOutcome::Unknown:
-        m_open = order;
+        m_unresolvedOrder = order;
         m_reportDue = now + reportLag;
         return;
     case OrderOutcome::Fenced:
     case OrderOutcome::Conflict:
     case OrderOutcome::OtherEngine:
     case OrderOutcome::Refused:
-        readAnew(now);
+        requireReport(now);
         return;
     }
 }
 
-void EngineRecord::readAnew(base::Instant now)
+void EngineRecord::requireReport(base::Instant now)
 {
     m_running.reset();
-    m_known = false;
+    m_stateKnown = false;
     m_reportDue = now + reportLag;
 }
 
-void EngineRecord::onAccepted(const PlannedOrder& order, bool underWay, base::Instant now)
+void EngineRecord::onAccepted(const PlannedOrder& order, bool inProgress, base::Instant now)
 {
-    ++m_orders;
-    m_reportsCountFrom = now + reportSettled;
+    ++m_acceptedOrders;
+    m_staleReportsUntil = now + staleReportWindow;
     if (order.target.adapter.empty()) {
         m_reportDue = now + std::max<base::Duration>(order.expected, reportLag);
         return;
@@ -193,10 +195,10 @@
     auto& adapters = m_loaded[order.target.model];
     if (order.kind == OrderKind::Load) {
         adapters.insert(order.target.adapter);
-        m_inTransit[order.target] = now + adapterLoadTime;
-    } else if (underWay) {
-        // A call may still use it: it counts until a report shows it gone.
-        m_leaving.insert(order.target);
+        m_loadingAdapters[order.target] = now + adapterLoadTime;
+    } else if (inProgress) {
+        // Calls may still use the adapter, so it is counted until a report no longer lists it.
+        m_unloadingAdapters.insert(order.target);
         m_reportDue = now + reportLag;
     } else {
         adapters.erase(order.target.adapter);
@@ -205,17 +207,17 @@
 
 void EngineRecord::announce(const ModelTarget& target, bool loaded, base::Instant now)
 {
-    m_told[target] = { loaded, now + shortestNotice };
+    m_announcements[target] = { loaded, now + minNoticeTime };
 }
 
 void EngineRecord::appendNotices(std::vector<LoadedNotice>& notices, base::Instant now)
 {
-    std::erase_if(m_told, [&](const auto& entry) {
-        const auto& [target, told] = entry;
-        return holdsTarget(m_description.loaded, target) == told.loaded && now >= told.keepUntil;
+    std::erase_if(m_announcements, [&](const auto& entry) {
+        const auto& [target, announcement] = entry;
+        return holdsTarget(m_description.loaded, target) == announcement.loaded && now >= announcement.keepUntil;
     });
-    for (const auto& [target, told] : m_told)
-        notices.push_back({ m_description.id, m_description.start, target, told.loaded });
+    for (const auto& [target, announcement] : m_announcements)
+        notices.push_back({ m_description.id, m_description.start, target, announcement.loaded });
 }
 
 } // namespace toucanstep::direct
--- a/packages/direct/src/EngineRecord.h
+++ b/packages/direct/src/EngineRecord.h
@@ -1,10 +1,10 @@
-// What the planner's holder knows of one engine: what it holds, the order that it carries out, and orders whose outcome is
-// open. Takes reports, answers and the time as arguments and does no I/O.
+// What the planner knows about one engine: its models and adapters, its running order, and an order with an unknown
+// outcome. Takes reports, responses and the time as arguments and does no I/O.
 //
-// An order whose answer was lost may be carried out seconds later. It names the number of orders that the engine must have
-// accepted before, so it can land only as the next one. Until a report shows a state, nothing else is ordered; what the
-// report shows is then planned for anew. The order is not sent again as it was: another one, of an earlier holder, may have
-// landed meanwhile and taken the room that it was meant for.
+// An order whose response was lost may still be executed seconds later. It carries the number of orders that the engine must
+// have accepted before, so it can only be accepted as the next one. No other order is sent until a report has arrived, and
+// planning then starts from the reported state. The lost order is not resent unchanged: an order of an earlier planner may
+// have been accepted meanwhile and have taken the capacity it was meant for.
 
 #pragma once
 
@@ -26,65 +26,65 @@
     const UpstreamDescription& description() const { return m_description; }
     void setDescription(UpstreamDescription description) { m_description = std::move(description); }
 
-    // Takes no order now.
-    bool blocked() const { return !m_known || m_calling || m_open || m_description.draining; }
-    bool reportDue(base::Instant now) const { return !m_calling && m_reportDue && *m_reportDue <= now; }
-    // The engine as the planner sees it.
-    PlannedEngine planned(const UpstreamEntry&, base::Instant now);
+    // Accepts no order now.
+    bool blocked() const { return !m_stateKnown || m_requestPending || m_unresolvedOrder || m_description.draining; }
+    bool reportDue(base::Instant now) const { return !m_requestPending && m_reportDue && *m_reportDue <= now; }
+    // The planner's input for this engine.
+    PlannedEngine planningState(const UpstreamEntry&, base::Instant now);
 
     void onReportRequested();
     void onReportFailed(base::Instant now);
-    // Returns whether the report says something new; `speed` learns from loads that have ended.
+    // Returns whether the report was applied. Loads that have ended are passed to `storeLimit`.
     bool onReport(const EngineReport&, base::Instant now, StoreConcurrencyLimit& storeLimit);
 
-    // The order to send for what the planner wants.
+    // Records the planned order as sent and returns the order for the engine.
     EngineOrder onSending(const PlannedOrder&, base::Instant now);
-    // What the engine has answered, or that it has not.
+    // Handles the engine's response to an order, or its absence.
     void onAnswered(const PlannedOrder&, OrderOutcome, base::Instant now);
-    // Calls may be sent for the target from now on, or not any more.
+    // Adds a notice that calls may be sent for the target, or may not any more.
     void announce(const ModelTarget&, bool loaded, base::Instant now);
-    // What gateways have to know before the list shows it.
+    // Appends the announced changes that the list may not show yet.
     void appendNotices(std::vector<LoadedNotice>&, base::Instant now);
 
 private:
-    struct Told {
+    struct Announcement {
         bool loaded = false;
         base::Instant keepUntil;
     };
 
     bool holds(const ModelTarget&) const;
-    void takeState(const EngineReport&, base::Instant now);
-    void endRunning(base::Instant now, StoreConcurrencyLimit&);
-    void settleOpen(base::Instant now);
-    void readAnew(base::Instant now);
-    void onAccepted(const PlannedOrder&, bool underWay, base::Instant now);
+    void applyReport(const EngineReport&, base::Instant now);
+    void finishRunningOrder(base::Instant now, StoreConcurrencyLimit&);
+    void resolveOrder(base::Instant now);
+    void requireReport(base::Instant now);
+    void onAccepted(const PlannedOrder&, bool inProgress, base::Instant now);
 
     UpstreamDescription m_description;
-    // Known from a report since the duty was taken, and since the last order that the engine turned down.
-    bool m_known = false;
+    // A report was applied since this record was created and since the last order that the engine did not accept.
+    bool m_stateKnown = false;
     LoadedModels m_loaded;
     std::set<base::ModelId> m_inHostMemory;
     std::set<base::ModelId> m_onDisk;
-    int64_t m_orders = 0;
-    // A call to the engine is under way: only one at a time.
-    bool m_calling = false;
+    int64_t m_acceptedOrders = 0;
+    // Only one request to the engine is in flight at a time.
+    bool m_requestPending = false;
     std::optional<RunningOrder> m_running;
     base::Instant m_runningSince;
-    // Sent, and its outcome is not known: nothing else is ordered until a report shows it.
-    std::optional<PlannedOrder> m_open;
+    // Sent, with an unknown outcome; no other order is sent until a report has been applied.
+    std::optional<PlannedOrder> m_unresolvedOrder;
     std::optional<base::Instant> m_reportDue;
-    std::map<ModelTarget, base::Instant> m_inTransit;
-    // Adapters whose unload waits for calls that use them.
-    std::set<ModelTarget> m_leaving;
-    // A report from before this instant may not show the last accepted order.
-    base::Instant m_reportsCountFrom;
-    // The engine carries out an order that was not given by this holder of the duty.
-    bool m_busyUnknown = false;
-    std::map<ModelTarget, Told> m_told;
+    std::map<ModelTarget, base::Instant> m_loadingAdapters;
+    // Adapters whose unload waits for the calls that use them.
+    std::set<ModelTarget> m_unloadingAdapters;
+    // Until then a report may be older than the last accepted order.
+    base::Instant m_staleReportsUntil;
+    // The engine executes an order that this planner did not send.
+    bool m_runsUnknownOrder = false;
+    std::map<ModelTarget, Announcement> m_announcements;
 };
 
-// From an accepted order for an adapter until calls may be sent for it. It takes some ten milliseconds; a call that comes
-// sooner is turned away.
+// Time from an accepted load of an adapter until calls may be sent for it. A load takes some ten milliseconds, and the engine
+// rejects earlier calls.
 constexpr auto adapterLoadTime = std::chrono::milliseconds(15);
 
 } // namespace toucanstep::direct
--- a/packages/direct/src/LeaderElection.cpp
+++ b/packages/direct/src/LeaderElection.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-// A lease is renewed this many times in its length, so that a lost answer or two do not end it.
+// Renewals per lease duration, so that one or two lost responses do not end the lease.
 constexpr int renewalsPerLease = 4;
 constexpr auto campaignRetryInterval = std::chrono::milliseconds(500);
 
@@ -144,7 +144,7 @@
     transaction.comparisons.push_back({ std::string(plannerKey), holder ? holder->modified : base::Revision(0) });
     transaction.comparisons.push_back({ std::string(lastPlannerKey), last ? last->modified : base::Revision(0) });
     transaction.operations.emplace_back(base::PutOperation { std::string(lastPlannerKey), canResume ? m_settings.instance.value() : std::string(), {} });
-    // Last, so that the transaction's revision is this key's where a store counts each write.
+    // Written last, so that its revision is the transaction's even in a store that counts each write.
     transaction.operations.emplace_back(base::PutOperation { std::string(plannerKey), m_settings.instance.value(), m_lease });
     m_store.commit(std::move(transaction), m_loop.now() + storeCallTimeout, [this, canResume](base::Outcome<base::TransactionReply> outcome) {
         m_campaigning = false;
@@ -157,8 +157,7 @@
     });
 }
 
-// From the first order on this gateway is the last that gave one. Until that is written, a process that starts again here
-// pauses as any other would.
+// Until this is written, a process restarted on this machine has to pause like any other gateway.
 void LeaderElection::recordLastPlanner()
 {
     if (!m_leadership.needsRecording())
@@ -180,11 +179,11 @@
         bool another = holder && holder->value != m_settings.instance.value();
         return another ? std::optional(base::InstanceId(holder->value)) : std::nullopt;
     }
-    // An older copy of the store does not show this gateway's key yet.
+    // The local copy of the store is older than this gateway's key.
     if (m_directory.revision().value() < m_leadership.fence().value())
         return std::nullopt;
     if (!holder || holder->modified.value() != m_leadership.fence().value())
-        resign("the key is not this gateway's any more");
+        resign("the leadership key is no longer this gateway's");
     return std::nullopt;
 }
 
--- a/packages/direct/src/LeaderElection.h
+++ b/packages/direct/src/LeaderElection.h
@@ -1,5 +1,5 @@
-// Keeps this gateway's lease and its key in the list of gateways, and seeks, holds and gives up the planner's duty in the
-// store. What is decided is in PlannerLeadership; the calls to the store and their answers are here.
+// Keeps this gateway's lease and its key in the list of gateways, and runs the planner's election in the store.
+// PlannerLeadership makes the decisions; this class sends the requests to the store and handles the responses.
 
 #pragma once
 
@@ -14,27 +14,27 @@
 
 namespace toucanstep::direct {
 
-// The other gateways' keys begin with this; their values are the endpoints at which they hear each other.
+// Key prefix of the gateways' membership entries; the values are their endpoints for messages from other gateways.
 constexpr std::string_view memberPrefix = "toucanstep/gateways/";
-// All keys of the gateways themselves.
+// Key prefix of all entries written by the gateways.
 constexpr std::string_view fleetPrefix = "toucanstep/";
-// From a call to the store until it counts as failed.
+// After this time a request to the store counts as failed.
 constexpr auto storeCallTimeout = std::chrono::milliseconds(900);
 
 class LeaderElection {
 public:
-    // `onTaken` is called whenever the duty has been taken.
+    // `onElected` is called each time this gateway becomes the planner.
     LeaderElection(io::EventLoop&, base::KeyValueStore&, const Directory&, const DirectGatewaySettings&, std::function<void()> onElected);
 
     const PlannerLeadership& leadership() const { return m_leadership; }
-    // To be called several times a second.
+    // Has to be called several times a second.
     void tick();
-    // The process will end: the member's key goes at once. A duty that is held is kept until then: a successor would have to
-    // pause, and a process that starts again here takes it up without one.
+    // Deletes the membership key because the process is about to end. The leadership is kept until then: a successor would
+    // have to pause, whereas a process restarted on this machine resumes without a pause.
     void leave();
-    // The copy of the store has changed. Returns the planner, if it is another gateway.
+    // Handles a change of the local copy of the store. Returns the planner if it is another gateway.
     std::optional<base::InstanceId> onDirectoryUpdated();
-    // Orders are being given.
+    // Has to be called when this gateway starts to send orders.
     void recordLastPlanner();
     void resign(std::string_view why);
 
--- a/packages/direct/src/PlacementPlan.cpp
+++ b/packages/direct/src/PlacementPlan.cpp
@@ -15,57 +15,57 @@
     int64_t waiting = 0;
     int64_t running = 0;
     double callsPerSecond = 0;
-    // Calls whose prompts wait to be read or are being read, on average.
+    // Average number of calls whose prompts are queued or being processed.
     double awaiting = 0;
 };
 
-// The engines' time that is spent on reading prompts, in engines, where that many calls stand in the queues of `copies`.
-double readingTime(double awaiting, int64_t copies)
+// Prefill utilization, in engines, for that many calls in the prefill queues of `replicas`.
+double prefillUtilization(double awaiting, int64_t replicas)
 {
-    double each = awaiting / static_cast<double>(copies);
-    return static_cast<double>(copies) * each / (1 + each);
+    double each = awaiting / static_cast<double>(replicas);
+    return static_cast<double>(replicas) * each / (1 + each);
 }
 
 } // namespace
 
-// A model that should have another copy. Lower ranks go first.
-struct PlacementPlanner::Want {
-    enum class Rank {
-        // Loaded nowhere, and callers wait.
-        Missing,
-        // Its copies have no free slot, or long queues of prompts to read, and callers wait.
-        Overrun,
-        // Loaded nowhere.
-        Absent,
-        // Its copies are busier than they should be.
+// A model that needs another replica. Priorities are listed from the highest to the lowest.
+struct PlacementPlanner::ReplicaRequest {
+    enum class Priority {
+        // Loaded nowhere, with callers waiting.
+        NotLoadedWithWaiters,
+        // Callers wait although the model has replicas, or their prefill queues are long.
+        Saturated,
+        // Loaded nowhere, without waiting callers.
+        NotLoaded,
+        // Has fewer replicas than its load calls for.
         Busy,
     };
-    Rank rank = Rank::Missing;
+    Priority priority = Priority::NotLoadedWithWaiters;
     const ModelTraits* model = nullptr;
     ModelDemand demand;
 
-    // Callers are kept waiting by it.
-    bool pressing() const { return demand.waiting || rank == Rank::Overrun; }
+    // Callers are waiting, or are delayed by long prefill queues.
+    bool isUrgent() const { return demand.waiting || priority == Priority::Saturated; }
 
-    auto key() const { return std::tuple(rank, -demand.waiting, -demand.callsPerSecond, model->id); }
+    auto sortKey() const { return std::tuple(priority, -demand.waiting, -demand.callsPerSecond, model->id); }
 };
 
-// The working state of one call of plan().
-class PlacementPlanner::Round {
+// Working state of one call of plan().
+class PlacementPlanner::PlanningPass {
 public:
-    Round(PlacementPlanner& planner, const PlacementInput& input)
+    PlanningPass(PlacementPlanner& planner, const PlacementInput& input)
         : m_planner(planner)
         , m_settings(planner.m_settings)
         , m_input(input)
         , m_traits(*input.traits)
     {
         for (const auto& engine : input.engines)
-            m_engines.push_back({ &engine, freeMemory(engine), engine.running.has_value() || engine.blocked || engine.leaving, {}, reservationAt(engine) });
+            m_engines.push_back({ &engine, freeMemory(engine), engine.running.has_value() || engine.blocked || engine.draining, {}, reservationAt(engine) });
         for (const auto& entry : input.demand)
-            noteDemand(entry);
+            addDemand(entry);
         for (const auto& engine : input.engines) {
             bool fromStore = engine.running && engine.running->kind == OrderKind::Load && engine.running->source == LoadSource::WeightStore;
-            m_storeLoads += fromStore || engine.busyUnknown ? 1 : 0;
+            m_storeLoads += fromStore || engine.runsUnknownOrder ? 1 : 0;
         }
     }
 
@@ -80,13 +80,13 @@
     struct Engine {
         const PlannedEngine* state;
         int64_t free;
-        // No further model order in this round.
-        bool taken;
+        // Cannot take a model order in this pass.
+        bool unavailable;
         std::set<base::ModelId> ordered;
-        // Room was made for this model.
+        // Memory is reserved for this model.
         std::optional<base::ModelId> reserved;
 
-        bool reservedFor(const base::ModelId& other) const { return reserved && *reserved != other; }
+        bool isReservedForAnother(const base::ModelId& model) const { return reserved && *reserved != model; }
         bool holds(const base::ModelId& model) const { return state->loaded.contains(model); }
         bool isLoading(const base::ModelId& model) const
         {
@@ -109,11 +109,11 @@
         return std::nullopt;
     }
 
-    void noteDemand(const TargetDemand& entry)
+    void addDemand(const TargetDemand& entry)
     {
         if (entry.waiting || entry.running) {
-            m_planner.m_lastWanted[entry.target] = m_input.now;
-            m_planner.m_lastWanted[{ entry.target.model, AdapterId() }] = m_input.now;
+            m_planner.m_lastUsed[entry.target] = m_input.now;
+            m_planner.m_lastUsed[{ entry.target.model, AdapterId() }] = m_input.now;
         }
         ModelDemand& demand = m_demand[entry.target.model];
         demand.waiting += entry.waiting;
@@ -126,11 +126,11 @@
     int64_t memoryOf(const base::ModelId& id) const
     {
         const ModelTraits* model = m_traits.findModel(id);
-        // An engine that holds a model which the text does not name has no memory to give away.
+        // A model missing from the configuration counts as the whole memory, so its engine gets no further model.
         return model ? model->memory.value() : m_traits.memory.value();
     }
 
-    // Adapters of any model may come later: room for as many as an engine takes is left.
+    // Memory for a full set of the largest adapters, kept free because adapters of any model may be loaded later.
     int64_t adapterReserve() const
     {
         int64_t largest = 0;
@@ -149,58 +149,58 @@
         return m_traits.memory.value() - used;
     }
 
-    int64_t copiesOf(const base::ModelId& model) const
+    int64_t replicasOf(const base::ModelId& model) const
     {
         return std::count_if(m_engines.begin(), m_engines.end(), [&](const Engine& engine) {
-            return !engine.state->leaving && !engine.isUnloading(model) && (engine.holds(model) || engine.isLoading(model));
+            return !engine.state->draining && !engine.isUnloading(model) && (engine.holds(model) || engine.isLoading(model));
         });
     }
 
-    int64_t copiesWanted(const base::ModelId& model) const
+    int64_t desiredReplicas(const base::ModelId& model) const
     {
         auto found = m_demand.find(model);
         if (found == m_demand.end() || m_engines.empty())
             return 1;
         double slots = static_cast<double>(m_engines.front().state->slots);
         double calls = static_cast<double>(found->second.waiting + found->second.running);
-        auto wanted = static_cast<int64_t>(std::ceil(calls / (slots * m_settings.slotsPerCopy)));
-        int64_t least = found->second.callsPerSecond > m_settings.callsPerSecondForTwo ? 2 : 1;
-        double reading = readingTime(found->second.awaiting, std::max<int64_t>(servingCopiesOf(model), 1));
-        auto readers = static_cast<int64_t>(std::ceil(reading / m_settings.readingTimePerCopy));
-        return std::max({ wanted, least, readers });
+        auto forSlots = static_cast<int64_t>(std::ceil(calls / (slots * m_settings.slotsPerReplica)));
+        int64_t minimum = found->second.callsPerSecond > m_settings.callsPerSecondForTwoReplicas ? 2 : 1;
+        double prefillLoad = prefillUtilization(found->second.awaiting, std::max<int64_t>(readyReplicasOf(model), 1));
+        auto forPrefill = static_cast<int64_t>(std::ceil(prefillLoad / m_settings.prefillUtilizationPerReplica));
+        return std::max({ forSlots, minimum, forPrefill });
     }
 
-    int64_t servingCopiesOf(const base::ModelId& model) const
+    int64_t readyReplicasOf(const base::ModelId& model) const
     {
         return std::count_if(m_engines.begin(), m_engines.end(), [&](const Engine& engine) {
-            return !engine.state->leaving && !engine.isUnloading(model) && engine.holds(model);
+            return !engine.state->draining && !engine.isUnloading(model) && engine.holds(model);
         });
     }
 
-    bool overrun(const base::ModelId& model, const ModelDemand& demand) const
+    bool isSaturated(const base::ModelId& model, const ModelDemand& demand) const
     {
-        int64_t serving = servingCopiesOf(model);
-        bool reads = serving && readingTime(demand.awaiting, serving) > m_settings.readingTimeOverrun * static_cast<double>(serving);
-        return demand.waiting || reads;
+        int64_t readyReplicas = readyReplicasOf(model);
+        bool prefillSaturated = readyReplicas && prefillUtilization(demand.awaiting, readyReplicas) > m_settings.saturatedPrefillUtilization * static_cast<double>(readyReplicas);
+        return demand.waiting || prefillSaturated;
     }
 
-    std::vector<Want> wants() const
+    std::vector<ReplicaRequest> replicaRequests() const
     {
-        std::vector<Want> list;
+        std::vector<ReplicaRequest> list;
         for (const auto& model : m_traits.models) {
             auto found = m_demand.find(model.id);
             ModelDemand demand = found == m_demand.end() ? ModelDemand() : found->second;
-            int64_t copies = copiesOf(model.id);
-            if (copies >= copiesWanted(model.id))
+            int64_t replicas = replicasOf(model.id);
+            if (replicas >= desiredReplicas(model.id))
                 continue;
-            Want want { copies ? Want::Rank::Busy : Want::Rank::Absent, &model, demand };
-            if (copies && overrun(model.id, demand))
-                want.rank = Want::Rank::Overrun;
+            ReplicaRequest request { replicas ? ReplicaRequest::Priority::Busy : ReplicaRequest::Priority::NotLoaded, &model, demand };
+            if (replicas && isSaturated(model.id, demand))
+                request.priority = ReplicaRequest::Priority::Saturated;
             else if (demand.waiting)
-                want.rank = Want::Rank::Missing;
-            list.push_back(want);
+                request.priority = ReplicaRequest::Priority::NotLoadedWithWaiters;
+            list.push_back(request);
         }
-        std::sort(list.begin(), list.end(), [](const Want& left, const Want& right) { return left.key() < right.key(); });
+        std::sort(list.begin(), list.end(), [](const ReplicaRequest& left, const ReplicaRequest& right) { return left.sortKey() < right.sortKey(); });
         return list;
     }
 
@@ -224,48 +224,48 @@
         return model.loadFromStore;
     }
 
-    bool hasLocalCopy(const base::ModelId& model) const
+    bool hasLocalWeights(const base::ModelId& model) const
     {
         return std::any_of(m_engines.begin(), m_engines.end(), [&](const Engine& engine) {
-            return !engine.state->leaving && sourceAt(engine, model) != LoadSource::WeightStore;
+            return !engine.state->draining && sourceAt(engine, model) != LoadSource::WeightStore;
         });
     }
 
-    // One way to give a model another copy: at this engine, after what it is doing, perhaps with another model's eviction.
-    struct Way {
+    // A possible placement of one more replica: on this engine, after its running order, possibly after an eviction.
+    struct Candidate {
         Engine* engine = nullptr;
         LoadSource source = LoadSource::WeightStore;
-        base::Duration ready {};
-        // Must go first.
+        base::Duration timeToReady {};
+        // Has to be evicted before the load.
         std::optional<base::ModelId> victim;
         int victimClass = 0;
-        base::Instant victimWanted;
-        // The engine can be given an order at once.
-        bool now = false;
+        base::Instant victimLastUsed;
+        // The engine can take the order now.
+        bool canStart = false;
 
-        // Of ways that are as soon, one that can be begun goes first: what an engine is doing may take longer.
-        auto key() const { return std::tuple(ready, !now, victimClass, victimWanted, engine->state->inFlight, -engine->free, engine->state->id); }
+        // Among equal times, prefers a candidate that can start now, since a running order may take longer than expected.
+        auto sortKey() const { return std::tuple(timeToReady, !canStart, victimClass, victimLastUsed, engine->state->inFlight, -engine->free, engine->state->id); }
     };
 
     void placeModels()
     {
-        std::vector<Want> list = wants();
-        dropReservations(list);
-        m_callersWait = std::any_of(list.begin(), list.end(), [](const Want& want) { return want.pressing(); });
-        for (const Want& want : list)
-            place(want);
-        foreseeRunningLoads();
+        std::vector<ReplicaRequest> list = replicaRequests();
+        releaseUnneededReservations(list);
+        m_hasUrgentRequests = std::any_of(list.begin(), list.end(), [](const ReplicaRequest& request) { return request.isUrgent(); });
+        for (const ReplicaRequest& request : list)
+            place(request);
+        reportRunningLoads();
     }
 
-    // Room that was made for a model whose callers do not wait any more is free for others. What is loaded from the store
-    // into the rest counts as begun.
-    void dropReservations(const std::vector<Want>& list)
+    // Releases reservations for models without an urgent request. Each remaining reservation for a load from the
+    // weight store counts as a load in progress.
+    void releaseUnneededReservations(const std::vector<ReplicaRequest>& list)
     {
         for (Engine& engine : m_engines) {
             if (!engine.reserved)
                 continue;
-            bool wanted = std::any_of(list.begin(), list.end(), [&](const Want& want) { return want.pressing() && want.model->id == *engine.reserved; });
-            if (wanted) {
+            bool needed = std::any_of(list.begin(), list.end(), [&](const ReplicaRequest& request) { return request.isUrgent() && request.model->id == *engine.reserved; });
+            if (needed) {
                 m_storeLoads += sourceAt(engine, *engine.reserved) == LoadSource::WeightStore ? 1 : 0;
                 continue;
             }
@@ -274,134 +274,135 @@
         }
     }
 
-    // While room is being made for a model, it is loaded there and no other room is made for it: another way may look sooner
-    // for a moment, and engine after engine would lose a model for the sake of one copy.
-    bool roomIsMadeElsewhere(const Engine& engine, const base::ModelId& model) const
+    // A model with a reservation is loaded only there. Otherwise another engine may look faster for a moment, and engine after
+    // engine would evict a model for the sake of one replica.
+    bool isReservedElsewhere(const Engine& engine, const base::ModelId& model) const
     {
         return engine.reserved != model && std::any_of(m_engines.begin(), m_engines.end(), [&](const Engine& other) { return other.reserved == model; });
     }
 
-    void place(const Want& want)
+    void place(const ReplicaRequest& request)
     {
-        std::optional<Way> best;
+        std::optional<Candidate> best;
         for (Engine& engine : m_engines) {
-            if (roomIsMadeElsewhere(engine, want.model->id))
+            if (isReservedElsewhere(engine, request.model->id))
                 continue;
-            auto way = wayAt(engine, want);
-            if (way && (!best || way->key() < best->key()))
-                best = way;
+            auto candidate = candidateAt(engine, request);
+            if (candidate && (!best || candidate->sortKey() < best->sortKey()))
+                best = candidate;
         }
         if (!best)
             return;
-        if (want.demand.waiting && !copiesOf(want.model->id))
-            m_result.expected.push_back({ { want.model->id, AdapterId() }, best->ready });
-        if (!best->now)
+        if (request.demand.waiting && !replicasOf(request.model->id))
+            m_result.expected.push_back({ { request.model->id, AdapterId() }, best->timeToReady });
+        if (!best->canStart)
             return;
         if (best->victim)
-            evict(*best, want);
+            evict(*best, request);
         else
-            load(*best, want);
+            load(*best, request);
     }
 
-    std::optional<Way> wayAt(Engine& engine, const Want& want) const
+    std::optional<Candidate> candidateAt(Engine& engine, const ReplicaRequest& request) const
     {
-        const base::ModelId& model = want.model->id;
-        if (engine.holds(model) || engine.isLoading(model) || engine.state->leaving || engine.reservedFor(model))
+        const base::ModelId& model = request.model->id;
+        if (engine.holds(model) || engine.isLoading(model) || engine.state->draining || engine.isReservedForAnother(model))
             return std::nullopt;
-        // Nothing is known of what it is doing, nor of the memory that this takes.
+        // Neither its current order nor the memory that this takes is known.
         if (engine.state->blocked && !engine.state->running)
             return std::nullopt;
-        Way way { &engine, sourceAt(engine, model) };
-        way.now = !engine.taken;
-        if (way.source == LoadSource::WeightStore && !mayLoadFromStore(want, way))
+        Candidate candidate { &engine, sourceAt(engine, model) };
+        candidate.canStart = !engine.unavailable;
+        if (candidate.source == LoadSource::WeightStore && !mayLoadFromStore(request, candidate))
             return std::nullopt;
-        way.ready = loadTime(*want.model, way.source);
+        candidate.timeToReady = loadTime(*request.model, candidate.source);
         if (engine.state->running)
-            way.ready += std::max<base::Duration>(base::remaining(m_input.now, engine.state->running->expectedEnd), m_settings.overdue);
-        if (engine.free >= want.model->memory.value())
-            return way;
-        if (!chooseVictim(engine, want, way))
+            candidate.timeToReady += std::max<base::Duration>(base::remaining(m_input.now, engine.state->running->expectedEnd), m_settings.overdueAllowance);
+        if (engine.free >= request.model->memory.value())
+            return candidate;
+        if (!chooseVictim(engine, request, candidate))
             return std::nullopt;
-        way.ready += m_settings.evictionTime;
-        return way;
+        candidate.timeToReady += m_settings.evictionTime;
+        return candidate;
     }
 
-    // Where some engine has a copy of the weights of its own, the store is left to models that have none: it is ten times
-    // as slow, and blocks an engine's orders meanwhile.
-    bool mayLoadFromStore(const Want& want, Way& way) const
+    // A model without waiting callers is not loaded from the weight store while its weights are in the host memory or on the
+    // disk of some engine: the store takes ten times as long and blocks the engine for other orders meanwhile.
+    bool mayLoadFromStore(const ReplicaRequest& request, Candidate& candidate) const
     {
-        if (want.rank == Want::Rank::Absent && hasLocalCopy(want.model->id))
+        if (request.priority == ReplicaRequest::Priority::NotLoaded && hasLocalWeights(request.model->id))
             return false;
-        // While callers wait, what nobody waits for leaves the store to them.
-        if (!want.pressing() && m_callersWait)
+        // While any request is urgent, the weight store is reserved for urgent requests.
+        if (!request.isUrgent() && m_hasUrgentRequests)
             return false;
-        way.now = way.now && (way.engine->reserved == want.model->id || m_storeLoads < m_input.maxStoreLoads);
+        candidate.canStart = candidate.canStart && (candidate.engine->reserved == request.model->id || m_storeLoads < m_input.maxStoreLoads);
         return true;
     }
 
-    // Room is made for what callers wait for. A copy that is not needed goes first, then the model that was not asked for
-    // the longest; what was asked for just now stays.
-    bool chooseVictim(const Engine& engine, const Want& want, Way& way) const
+    // Evicts only for urgent requests: surplus replicas first, then the least recently used model. A needed replica of a
+    // model that was used within idleBeforeEviction stays.
+    bool chooseVictim(const Engine& engine, const ReplicaRequest& request, Candidate& candidate) const
     {
-        if (!want.pressing())
+        if (!request.isUrgent())
             return false;
         for (const auto& [model, adapters] : engine.state->loaded) {
             auto victimClass = evictionClass(engine, model);
-            if (!victimClass || engine.free + memoryOf(model) < want.model->memory.value())
+            if (!victimClass || engine.free + memoryOf(model) < request.model->memory.value())
                 continue;
-            base::Instant wanted = lastWanted(model);
-            if (way.victim && std::tuple(way.victimClass, way.victimWanted) <= std::tuple(*victimClass, wanted))
+            base::Instant used = lastUsed(model);
+            if (candidate.victim && std::tuple(candidate.victimClass, candidate.victimLastUsed) <= std::tuple(*victimClass, used))
                 continue;
-            way.victim = model;
-            way.victimClass = *victimClass;
-            way.victimWanted = wanted;
+            candidate.victim = model;
+            candidate.victimClass = *victimClass;
+            candidate.victimLastUsed = used;
         }
-        return way.victim.has_value();
+        return candidate.victim.has_value();
     }
 
-    base::Instant lastWanted(const base::ModelId& model) const
+    base::Instant lastUsed(const base::ModelId& model) const
     {
-        auto found = m_planner.m_lastWanted.find({ model, AdapterId() });
-        return found == m_planner.m_lastWanted.end() ? base::Instant() : found->second;
+        auto found = m_planner.m_lastUsed.find({ model, AdapterId() });
+        return found == m_planner.m_lastUsed.end() ? base::Instant() : found->second;
     }
 
-    // 0 for a copy that is not needed, 1 for the last copy of a model that nobody waits for or uses; nothing if it stays.
+    // 0 for a surplus replica or a model missing from the configuration, 1 for a needed replica of an idle model, and nothing
+    // for a replica that must stay.
     std::optional<int> evictionClass(const Engine& engine, const base::ModelId& model) const
     {
         if (engine.isUnloading(model))
             return std::nullopt;
         auto evicted = m_evicted.find(model);
-        int64_t copies = copiesOf(model) - (evicted == m_evicted.end() ? 0 : evicted->second);
-        if (!m_traits.findModel(model) || copies > copiesWanted(model))
+        int64_t replicas = replicasOf(model) - (evicted == m_evicted.end() ? 0 : evicted->second);
+        if (!m_traits.findModel(model) || replicas > desiredReplicas(model))
             return 0;
         auto demand = m_demand.find(model);
         bool used = demand != m_demand.end() && (demand->second.waiting || demand->second.running);
-        if (used || m_input.now - lastWanted(model) < m_settings.idleBeforeEviction)
+        if (used || m_input.now - lastUsed(model) < m_settings.idleBeforeEviction)
             return std::nullopt;
         return 1;
     }
 
-    void load(const Way& way, const Want& want)
+    void load(const Candidate& candidate, const ReplicaRequest& request)
     {
-        m_result.orders.push_back({ way.engine->state->id, OrderKind::Load, { want.model->id, AdapterId() }, way.source, loadTime(*want.model, way.source) });
-        m_storeLoads += way.source == LoadSource::WeightStore && way.engine->reserved != want.model->id ? 1 : 0;
-        way.engine->taken = true;
-        way.engine->free -= want.model->memory.value();
-        way.engine->ordered.insert(want.model->id);
+        m_result.orders.push_back({ candidate.engine->state->id, OrderKind::Load, { request.model->id, AdapterId() }, candidate.source, loadTime(*request.model, candidate.source) });
+        m_storeLoads += candidate.source == LoadSource::WeightStore && candidate.engine->reserved != request.model->id ? 1 : 0;
+        candidate.engine->unavailable = true;
+        candidate.engine->free -= request.model->memory.value();
+        candidate.engine->ordered.insert(request.model->id);
     }
 
-    void evict(const Way& way, const Want& want)
+    void evict(const Candidate& candidate, const ReplicaRequest& request)
     {
-        m_result.orders.push_back({ way.engine->state->id, OrderKind::Unload, { *way.victim, AdapterId() }, LoadSource::HostMemory, base::Duration::zero() });
-        way.engine->taken = true;
-        m_evicted[*way.victim] += 1;
-        m_storeLoads += way.source == LoadSource::WeightStore ? 1 : 0;
-        // The room is for this model, and not for what has just been evicted.
-        m_planner.m_reserved[way.engine->state->id] = { want.model->id, m_input.now + m_settings.reservation };
-        way.engine->reserved = want.model->id;
+        m_result.orders.push_back({ candidate.engine->state->id, OrderKind::Unload, { *candidate.victim, AdapterId() }, LoadSource::HostMemory, base::Duration::zero() });
+        candidate.engine->unavailable = true;
+        m_evicted[*candidate.victim] += 1;
+        m_storeLoads += candidate.source == LoadSource::WeightStore ? 1 : 0;
+        // Otherwise the evicted model could be loaded into the freed memory again.
+        m_planner.m_reserved[candidate.engine->state->id] = { request.model->id, m_input.now + m_settings.reservationTime };
+        candidate.engine->reserved = request.model->id;
     }
 
-    void foreseeRunningLoads()
+    void reportRunningLoads()
     {
         for (const Engine& engine : m_engines) {
             const auto& running = engine.state->running;
@@ -415,10 +416,10 @@
     {
         if (!m_traits.adapterCapacity)
             return;
-        std::map<base::UpstreamId, size_t> begun;
+        std::map<base::UpstreamId, size_t> started;
         for (const auto& [target, demand] : m_targets) {
             if (!target.adapter.empty() && demand.waiting)
-                placeAdapter(target, begun);
+                placeAdapter(target, started);
         }
     }
 
@@ -430,58 +431,58 @@
         return count;
     }
 
-    void placeAdapter(const ModelTarget& target, std::map<base::UpstreamId, size_t>& begun)
+    void placeAdapter(const ModelTarget& target, std::map<base::UpstreamId, size_t>& started)
     {
         const PlannedEngine* best = nullptr;
         std::tuple<bool, int64_t, int64_t, base::UpstreamId> bestKey;
-        bool heldWithRoom = false;
+        bool heldWithFreeSlots = false;
         for (const auto& engine : m_input.engines) {
             auto model = engine.loaded.find(target.model);
-            if (engine.blocked || engine.leaving || model == engine.loaded.end())
+            if (engine.blocked || engine.draining || model == engine.loaded.end())
                 continue;
             if (model->second.contains(target.adapter)) {
-                heldWithRoom |= engine.inFlight < engine.slots;
+                heldWithFreeSlots |= engine.inFlight < engine.slots;
                 continue;
             }
             if (engine.running && engine.running->kind == OrderKind::Unload && engine.running->model == target.model)
                 continue;
-            if (engine.adaptersInTransit + begun[engine.id] >= m_settings.adaptersInTransit || begun[engine.id])
+            if (engine.adaptersLoading + started[engine.id] >= m_settings.maxAdaptersLoading || started[engine.id])
                 continue;
-            std::tuple key(adaptersAt(engine) >= m_traits.adapterCapacity, adaptersAt(engine), engine.inFlight, engine.id);
-            if (!best || key < bestKey) {
+            std::tuple sortKey(adaptersAt(engine) >= m_traits.adapterCapacity, adaptersAt(engine), engine.inFlight, engine.id);
+            if (!best || sortKey < bestKey) {
                 best = &engine;
-                bestKey = key;
+                bestKey = sortKey;
             }
         }
-        // Callers who wait for an adapter that an engine with free slots holds will be sent there in a moment.
-        if (!best || heldWithRoom)
+        // An engine with free slots already holds the adapter; the waiting calls are about to be dispatched to it.
+        if (!best || heldWithFreeSlots)
             return;
-        ++begun[best->id];
-        // Room is on its way.
-        if (!best->adaptersLeaving.empty() && adaptersAt(*best) >= m_traits.adapterCapacity)
+        ++started[best->id];
+        // A pending unload will free the capacity.
+        if (!best->adaptersUnloading.empty() && adaptersAt(*best) >= m_traits.adapterCapacity)
             return;
         if (adaptersAt(*best) < m_traits.adapterCapacity) {
             m_result.orders.push_back({ best->id, OrderKind::Load, target, LoadSource::WeightStore, base::Duration::zero() });
             return;
         }
-        if (auto victim = leastWantedAdapter(*best))
+        if (auto victim = leastRecentlyUsedAdapter(*best))
             m_result.orders.push_back({ best->id, OrderKind::Unload, *victim, LoadSource::WeightStore, base::Duration::zero() });
     }
 
-    std::optional<ModelTarget> leastWantedAdapter(const PlannedEngine& engine) const
+    std::optional<ModelTarget> leastRecentlyUsedAdapter(const PlannedEngine& engine) const
     {
         std::optional<ModelTarget> victim;
         base::Instant oldest;
         for (const auto& [model, adapters] : engine.loaded) {
             for (const auto& adapter : adapters) {
                 ModelTarget target { model, adapter };
-                if (engine.adaptersLeaving.contains(target))
+                if (engine.adaptersUnloading.contains(target))
                     continue;
                 auto demand = m_targets.find(target);
                 if (demand != m_targets.end() && (demand->second.waiting || demand->second.running))
                     continue;
-                auto wanted = m_planner.m_lastWanted.find(target);
-                base::Instant last = wanted == m_planner.m_lastWanted.end() ? base::Instant() : wanted->second;
+                auto found = m_planner.m_lastUsed.find(target);
+                base::Instant last = found == m_planner.m_lastUsed.end() ? base::Instant() : found->second;
                 if (!victim || last < oldest) {
                     victim = target;
                     oldest = last;
@@ -500,8 +501,8 @@
     std::map<ModelTarget, TargetDemand> m_targets;
     std::map<base::ModelId, int64_t> m_evicted;
     size_t m_storeLoads = 0;
-    // Some caller waits for another copy of a model.
-    bool m_callersWait = false;
+    // Some request of this pass is urgent.
+    bool m_hasUrgentRequests = false;
     Placement m_result;
 };
 
@@ -527,7 +528,7 @@
 {
     if (!input.traits)
         return {};
-    return Round(*this, input).run();
+    return PlanningPass(*this, input).run();
 }
 
 } // namespace toucanstep::direct
--- a/packages/direct/src/PlannerLeadership.cpp
+++ b/packages/direct/src/PlannerLeadership.cpp
@@ -13,8 +13,8 @@
 
 bool PlannerLeadership::mayCampaign(const LeadershipRecord& record, base::Instant now)
 {
-    // A key in this gateway's name that it does not know to hold is of the process before it on this machine, or of a write
-    // whose answer was lost.
+    // A key with this gateway's name that it did not knowingly acquire was written by the previous process on this machine, or
+    // by a write whose response was lost.
     if (record.holder) {
         m_vacantSince.reset();
         return *record.holder == m_self;
--- a/packages/direct/src/UpstreamTable.cpp
+++ b/packages/direct/src/UpstreamTable.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-// An upstream that failed is tried less for a few seconds: as long as one needs that has crashed and starts again.
+// A failed upstream gets fewer calls for a few seconds, about the time that a crashed one needs to restart.
 constexpr double failureHalfLifeSeconds = 2;
-// No connection within its time: long enough that a call is not held up twice in a row, short enough for a restart.
+// After a failed connection. Long enough that a call is not delayed twice in a row, short enough not to outlast a restart.
 constexpr auto avoidUnreachable = std::chrono::milliseconds(700);
-// Engines make an event every few milliseconds and answer plain calls within tens of them; one that runs calls and
-// sends nothing for this long has stopped or cannot be reached.
+// Engines send an event every few milliseconds and answer non-streaming calls within tens of milliseconds. One that has
+// calls in flight and sends nothing for this long has stopped or cannot be reached.
 constexpr auto unresponsiveAfter = std::chrono::milliseconds(1000);
 
 } // namespace
--- a/packages/direct/test/DecisionTest.cpp
+++ b/packages/direct/test/DecisionTest.cpp
@@ -50,7 +50,7 @@
     Obstacle obstacle(const DispatchQuery& query) { return chooseUpstream(table, query, now).obstacle; }
 };
 
-TEST(Dispatch, ACallGoesToTheLeastBusyEngineThatHoldsItsModel)
+TEST(Dispatch, ChoosesLeastBusyEngineThatHoldsTheModel)
 {
     table.put(engine("one", "m"), now);
     table.put(engine("two", "m"), now);
@@ -59,10 +59,10 @@
     STRCMP_EQUAL("two", chosen(asks("m")).c_str());
 }
 
-TEST(Dispatch, CallsThatComeToSeveralGatewaysAtOnceSpreadOverIdleUpstreams)
+TEST(Dispatch, SpreadsSimultaneousCallsOfSeveralGatewaysOverIdleUpstreams)
 {
-    // Callers would queue at one engine while others idle: gateways that have not heard of each other's calls all find the
-    // same engines idle, and each sends its call to the first of the list.
+    // Guards against a queue at one engine while others are idle: gateways that do not know each other's calls yet see the same
+    // idle engines, and each would choose the first in the list.
     for (const char* id : { "one", "two", "three" })
         table.put(engine(id, "m"), now);
     std::set<std::string> used;
@@ -74,7 +74,7 @@
     LONGS_EQUAL(3, used.size());
 }
 
-TEST(Dispatch, CallsOfOtherGatewaysCount)
+TEST(Dispatch, CountsCallsOfOtherGateways)
 {
     table.put(engine("one", "m"), now);
     table.put(engine("two", "m"), now);
@@ -82,10 +82,10 @@
     STRCMP_EQUAL("two", chosen(asks("m")).c_str());
 }
 
-TEST(Dispatch, ACallGoesWhereFewerPromptsWaitToBeRead)
+TEST(Dispatch, PrefersEngineWithFewerPromptsInPrefillQueue)
 {
-    // First tokens would come late although another engine could have given them at once: an engine with many slots looked
-    // idle with a dozen calls whose prompts it had yet to read, and a shared beginning drew more of them there.
+    // Guards against late first tokens while another engine is free: an engine with many slots looked idle although a dozen
+    // prompts were queued there, and prefix affinity sent more calls to it.
     table.put(engine("one", "m", 128), now);
     table.put(engine("two", "m", 128), now);
     DispatchQuery query = asks("m");
@@ -99,13 +99,13 @@
         table.onAnswerBegun(base::UpstreamId(other));
     }
     STRCMP_EQUAL(other.c_str(), chosen(query).c_str());
-    // The answers have begun: what they share draws the call again.
+    // The responses have begun, so prefix affinity decides again.
     for (int call = 0; call < 4; ++call)
         table.onAnswerBegun(base::UpstreamId(home));
     STRCMP_EQUAL(home.c_str(), chosen(query).c_str());
 }
 
-TEST(Dispatch, WhatStandsInTheWayIsTold)
+TEST(Dispatch, ReportsTheObstacle)
 {
     CHECK_TRUE(obstacle(asks("m")) == Obstacle::NoUpstream);
     table.put(engine("one", "m", 1), now);
@@ -115,7 +115,7 @@
     CHECK_TRUE(obstacle(asks("m")) == Obstacle::Full);
 }
 
-TEST(Dispatch, ALeavingEngineGetsNoNewWork)
+TEST(Dispatch, DrainingEngineGetsNoNewCalls)
 {
     UpstreamDescription leaving = engine("one", "m");
     leaving.draining = true;
@@ -123,7 +123,7 @@
     CHECK_TRUE(obstacle(asks("m")) == Obstacle::NoUpstream);
 }
 
-TEST(Dispatch, AnUpstreamThatWasTriedIsNotTriedAgain)
+TEST(Dispatch, TriedUpstreamIsNotChosenAgain)
 {
     table.put(engine("one", "m"), now);
     std::set<base::UpstreamId> tried { base::UpstreamId("one") };
@@ -132,9 +132,9 @@
     CHECK_TRUE(obstacle(query) == Obstacle::NoUpstream);
 }
 
-TEST(Dispatch, AnEngineThatFailsGetsLessAndThenIsTriedAgain)
+TEST(Dispatch, FailingEngineGetsFewerCallsUntilFailuresDecay)
 {
-    // Callers would lose a part of their calls for as long as an engine fails them while its own check says that it is well.
+    // Guards against losing a share of the calls to an engine that fails them while its health check succeeds.
     table.put(engine("one", "m"), now);
     table.put(engine("two", "m"), now);
     table.onDispatched(base::UpstreamId("two"), now);
@@ -144,7 +144,7 @@
     STRCMP_EQUAL("one", chosen(asks("m")).c_str());
 }
 
-TEST(Dispatch, AnUnreachableUpstreamIsLeftOutForAMoment)
+TEST(Dispatch, UnreachableUpstreamIsSkippedForAWhile)
 {
     table.put(engine("one", "m"), now);
     table.onUnreachable(base::UpstreamId("one"), now);
@@ -153,7 +153,7 @@
     STRCMP_EQUAL("one", chosen(asks("m")).c_str());
 }
 
-TEST(Dispatch, ASilentEngineIsTheLastChoice)
+TEST(Dispatch, UnresponsiveEngineIsTheLastChoice)
 {
     table.put(engine("one", "m"), now);
     table.put(engine("two", "m"), now);
@@ -166,7 +166,7 @@
     STRCMP_EQUAL("one", chosen(asks("m")).c_str());
 }
 
-TEST(Dispatch, CallsThatShareAPromptMeetAtOneEngine)
+TEST(Dispatch, CallsWithASharedPromptGoToOneEngine)
 {
     for (const char* id : { "one", "two", "three" })
         table.put(engine(id, "m", 32), now);
@@ -177,7 +177,7 @@
     STRCMP_EQUAL(first.c_str(), chosen(query).c_str());
 }
 
-TEST(Dispatch, ThePlannersNoticeGoesBeforeTheListUntilItExpires)
+TEST(Dispatch, PlannerNoticeOverridesTheListUntilItExpires)
 {
     table.put(engine("one", "m"), now);
     table.addNotice({ base::UpstreamId("one"), StartId(), { base::ModelId("n"), AdapterId() }, true }, now + std::chrono::seconds(1));
@@ -188,7 +188,7 @@
     STRCMP_EQUAL("one", chosen(asks("m")).c_str());
 }
 
-TEST(Dispatch, AnotherStartOfAnEngineHasNothingOfTheOldOne)
+TEST(Dispatch, RestartedEngineLosesTheOldState)
 {
     table.put(engine("one", "m"), now);
     table.addNotice({ base::UpstreamId("one"), StartId(), { base::ModelId("n"), AdapterId() }, true }, now + std::chrono::seconds(9));
@@ -202,7 +202,7 @@
 
 TEST_GROUP(DesiredState) {};
 
-TEST(DesiredState, TheLongestPrefixOfTheHostWins)
+TEST(DesiredState, LongestPathPrefixOfTheHostWins)
 {
     DesiredState state;
     for (const char* prefix : { "/a/", "/a/b/", "/" }) {
@@ -226,10 +226,10 @@
     const base::InstanceId other { "other" };
 };
 
-TEST(PlannerLeadership, TheLeaseCountsFromTheMomentTheRenewalWasSent)
+TEST(PlannerLeadership, LeaseCountsFromTheTimeTheRenewalWasSent)
 {
-    // Two gateways would order the same engine: a machine stands still while the answer to its renewal is on the way, and
-    // counts the lease from the moment at which it reads that answer.
+    // Guards against two planners at once: a machine is suspended while the response to its renewal is in flight, and would
+    // count the lease from the time at which it reads the response.
     leadership.onAcquired(base::Epoch(4), start, start, true);
     CHECK_TRUE(leadership.maySendOrders(start + std::chrono::milliseconds(1199)));
     CHECK_FALSE(leadership.maySendOrders(start + std::chrono::milliseconds(1200)));
@@ -238,7 +238,7 @@
     CHECK_FALSE(leadership.maySendOrders(start + std::chrono::milliseconds(1700)));
 }
 
-TEST(PlannerLeadership, ASuccessorWaitsWhereEnginesDoNotCheckFences)
+TEST(PlannerLeadership, SuccessorPausesBeforeItsFirstOrder)
 {
     leadership.onAcquired(base::Epoch(4), start, start, false);
     leadership.onRenewed(start + std::chrono::seconds(10));
@@ -246,16 +246,17 @@
     CHECK_TRUE(leadership.maySendOrders(start + std::chrono::seconds(3)));
 }
 
-TEST(PlannerLeadership, ALostDutyOrdersNothing)
+TEST(PlannerLeadership, NoOrdersAfterLeadershipIsLost)
 {
     leadership.onAcquired(base::Epoch(4), start, start, true);
     leadership.onLost();
     CHECK_FALSE(leadership.maySendOrders(start));
 }
 
-// All gateways were killed and came back within a second. Nothing was loaded for five more: the old planner's key stood until
-// its lease ended, another gateway took the duty then, and paused although the last planner could have gone on.
-TEST(PlannerLeadership, TheLastPlannerTakesItsDutyUpAgainWithoutAPause)
+// Guards against a long pause after all gateways are killed and restarted within a second: the old planner's key stays until
+// its lease ends, and another gateway then becomes the planner and pauses. Nothing was loaded for five seconds, although the
+// last planner could have resumed at once.
+TEST(PlannerLeadership, LastPlannerResumesWithoutAPause)
 {
     LeadershipRecord record { self, self };
     CHECK_TRUE(leadership.mayCampaign(record, start));
@@ -265,21 +266,21 @@
     CHECK_FALSE(leadership.needsRecording());
 }
 
-TEST(PlannerLeadership, OthersLeaveAnOpenDutyToTheLastPlannerForAMoment)
+TEST(PlannerLeadership, OtherGatewaysGiveTheLastPlannerAHeadStart)
 {
     LeadershipRecord record { std::nullopt, other };
     CHECK_FALSE(leadership.mayCampaign(record, start));
     CHECK_FALSE(leadership.mayCampaign(record, start + std::chrono::milliseconds(399)));
     CHECK_TRUE(leadership.mayCampaign(record, start + std::chrono::milliseconds(400)));
     CHECK_FALSE(leadership.canResume(record));
-    // Somebody had it meanwhile: the moment begins anew.
+    // There was a planner meanwhile, so the head start begins anew.
     CHECK_FALSE(leadership.mayCampaign({ other, other }, start + std::chrono::seconds(1)));
     CHECK_FALSE(leadership.mayCampaign(record, start + std::chrono::seconds(2)));
 }
 
-// A gateway took the duty from another, was killed while it paused, and came back: it must not take itself for the last that
-// gave orders, or the orders of two planners would mingle at an engine.
-TEST(PlannerLeadership, AProcessThatStartsAgainWithinItsPausePausesAnew)
+// Guards against interleaved orders of two planners: a gateway that was elected, killed during its pause and restarted must
+// not regard itself as the last one that sent orders.
+TEST(PlannerLeadership, ProcessRestartedDuringItsPausePausesAgain)
 {
     LeadershipRecord paused { self, base::InstanceId() };
     CHECK_TRUE(leadership.mayCampaign(paused, start));
@@ -289,7 +290,7 @@
     CHECK_TRUE(leadership.needsRecording());
 }
 
-TEST(PlannerLeadership, OnlyAFirstStartNeedsNoPauseWithoutALastPlanner)
+TEST(PlannerLeadership, WithoutALastPlannerOnlyAFirstStartNeedsNoPause)
 {
     CHECK_FALSE(leadership.canResume({}));
     CHECK_TRUE(PlannerLeadership({}, self, true).canResume({}));
@@ -297,7 +298,7 @@
 
 TEST_GROUP(FleetReports) {};
 
-TEST(FleetReports, EveryKindComesBackAsItWasSent)
+TEST(FleetReports, EveryReportTypeRoundTrips)
 {
     ReportSender sender { base::InstanceId("g"), Incarnation(5), 9 };
     LoadReport load { sender, ConfigurationVersion(3), { base::Revision(40), base::Revision(39), base::Revision(41) }, true, { { base::UpstreamId("e"), { 2, 1 } } } };
@@ -328,22 +329,23 @@
     LONGS_EQUAL(250, base::toMilliseconds(planBack.expected.at(0).in));
 }
 
-TEST(FleetReports, BytesThatAreNoReportGiveNothing)
+TEST(FleetReports, RejectsInvalidBytes)
 {
     CHECK_FALSE(decodeReport("").has_value());
     CHECK_FALSE(decodeReport("\x93\x01\x02\x03").has_value());
     CHECK_PROPERTY([](const std::string& bytes) { decodeReport(bytes); });
 }
 
-TEST(FleetReports, ANumberThatDoesNotFitGivesNothing)
+TEST(FleetReports, RejectsOutOfRangeNumbers)
 {
-    // A datagram from anyone could set counts to any value: a fraction beyond all whole numbers was converted.
+    // Guards against the conversion of a floating-point number outside the integer range, by which a datagram from any sender
+    // could set counts to arbitrary values.
     CHECK_FALSE(decodeReport(std::string("\x92\x94\x02\xa1g\xcb\x7f\xef\xff\xff\xff\xff\xff\xff\x09\x90", 16)).has_value());
     PlanReport plan { { base::InstanceId("g"), Incarnation(5), 9 }, base::Epoch(6), {}, { { { base::ModelId("n"), AdapterId() }, std::chrono::hours(48) } } };
     CHECK_FALSE(decodeReport(encodeReport(plan)).has_value());
 }
 
-TEST(FleetReports, AReportCutAnywhereGivesNothing)
+TEST(FleetReports, RejectsTruncatedReports)
 {
     std::string whole = encodeReport(DemandReport { { base::InstanceId("g"), Incarnation(5), 9 }, { { { base::ModelId("m"), AdapterId("a1") }, 1, 2, 300 } } });
     for (size_t size = 0; size < whole.size(); ++size)
@@ -352,7 +354,7 @@
 
 TEST_GROUP(EventSplitter) {};
 
-TEST(EventSplitter, OnlyWholeEventsArePassedOn)
+TEST(EventSplitter, PassesOnOnlyCompleteEvents)
 {
     EventSplitter events;
     STRCMP_EQUAL("", events.feed("id: 1\ndata: a\n").c_str());
@@ -365,7 +367,7 @@
     CHECK_FALSE(events.hasPartial());
 }
 
-TEST(EventSplitter, HoweverAStreamIsCutItsEventsAreTheSame)
+TEST(EventSplitter, EventsDoNotDependOnChunkBoundaries)
 {
     CHECK_PROPERTY([] {
         std::string stream;
@@ -385,7 +387,7 @@
 
 TEST_GROUP(DemandBook) {};
 
-TEST(DemandBook, DemandThatEndedFadesAndIsForgotten)
+TEST(DemandBook, EndedDemandDecaysAndIsRemoved)
 {
     DemandBook book;
     ModelTarget target { base::ModelId("m"), AdapterId() };
@@ -399,7 +401,7 @@
     LONGS_EQUAL(1, book.summary(now + std::chrono::seconds(120)).at(0).waiting);
 }
 
-TEST(DemandBook, CallsWhosePromptsWaitAreAveragedOverASecondOrTwo)
+TEST(DemandBook, QueuedPromptsAreAveragedOverTime)
 {
     DemandBook book;
     ModelTarget target { base::ModelId("m"), AdapterId() };
--- a/packages/direct/test/EngineRecordTest.cpp
+++ b/packages/direct/test/EngineRecordTest.cpp
@@ -40,8 +40,8 @@
     UpstreamEntry listed;
 
     void setup() override { listed.description = description(); }
-    size_t adaptersPlannedFor(base::Instant now) { return record.planned(listed, now).loaded[modelName].size(); }
-    bool told(const ModelTarget& target, base::Instant now)
+    size_t adaptersPlannedFor(base::Instant now) { return record.planningState(listed, now).loaded[modelName].size(); }
+    bool isAnnounced(const ModelTarget& target, base::Instant now)
     {
         std::vector<LoadedNotice> notices;
         record.appendNotices(notices, now);
@@ -49,15 +49,15 @@
             if (notice.target == target)
                 return notice.loaded;
         }
-        FAIL("nothing was told of the target");
+        FAIL("no notice for the target");
         return false;
     }
 };
 
-// An engine with places for eight adapters crashed under its callers. The planner had ordered a ninth: its order for the
-// eighth got no answer, and before it could land, an order of the planner that had been killed took the last place. The
-// report showed that the planner's own order had not landed, so it was sent once more, with the new count of orders.
-TEST(EngineRecord, AnOrderWithoutAnswerIsNotSentAgainButPlannedAnew)
+// Guards against overfilling an engine with a resent order. The response to an order for the last free place is lost, and a
+// delayed order of the previous planner, which was killed, takes that place. If the planner then resends its own order with
+// the new order count, the engine loads one adapter too many and crashes; it happened with a ninth adapter on eight places.
+TEST(EngineRecord, PlansAnewAfterAnUnansweredOrder)
 {
     record.onReportRequested();
     record.onReport(report(7, { AdapterId("a1") }), start, storeLimit);
@@ -73,21 +73,21 @@
     LONGS_EQUAL(8, record.onSending(order(OrderKind::Unload, adapter("a1")), start + 2 * second).expectedOrders);
 }
 
-// Callers were turned away from an adapter that its engine held: the order to unload it had been lost, calls had been
-// stopped before it was sent, and nobody said that they may go there again.
-TEST(EngineRecord, AnUnloadThatDidNotHappenLetsCallsComeAgain)
+// Guards against rejected calls for an adapter that is loaded: calls stop before the unload order is sent, and if the order
+// is lost they have to be allowed again.
+TEST(EngineRecord, AllowsCallsAgainAfterALostUnload)
 {
     record.onReportRequested();
     record.onReport(report(0, { AdapterId("a1") }), start, storeLimit);
     record.onSending(order(OrderKind::Unload, adapter("a1")), start);
-    CHECK_FALSE(told(adapter("a1"), start));
+    CHECK_FALSE(isAnnounced(adapter("a1"), start));
     record.onAnswered(order(OrderKind::Unload, adapter("a1")), OrderOutcome::Unknown, start + second);
     record.onReportRequested();
     record.onReport(report(0, { AdapterId("a1") }), start + 2 * second, storeLimit);
-    CHECK_TRUE(told(adapter("a1"), start + 2 * second));
+    CHECK_TRUE(isAnnounced(adapter("a1"), start + 2 * second));
 }
 
-TEST(EngineRecord, AReportFromBeforeAnAcceptedOrderSaysNothing)
+TEST(EngineRecord, IgnoresReportsOlderThanAnAcceptedOrder)
 {
     record.onReportRequested();
     record.onReport(report(0, {}), start, storeLimit);
@@ -100,12 +100,12 @@
 
 namespace {
 
-// An engine that takes orders at once, late or never, as the history says. Late ones check the count of orders when they land.
-struct LateEngine {
-    static constexpr size_t places = 3;
+// An engine that receives orders at once, delayed or never. A delayed order is checked against the order count on arrival.
+struct DelayedEngine {
+    static constexpr size_t capacity = 3;
     int64_t orders = 0;
     std::set<AdapterId> adapters;
-    std::vector<EngineOrder> late;
+    std::vector<EngineOrder> delayed;
     size_t mostHeld = 0;
 
     OrderOutcome take(const EngineOrder& given)
@@ -121,19 +121,19 @@
         else
             adapters.erase(given.target.adapter);
         mostHeld = std::max(mostHeld, adapters.size());
-        // An adapter that no call uses goes at once, which is answered like an order that held before.
+        // The unload of an unused adapter is completed at once, which is answered as if it had been unloaded before.
         return given.kind == OrderKind::Load ? OrderOutcome::Accepted : OrderOutcome::AlreadyHolds;
     }
 };
 
 } // namespace
 
-// The same with chance in place of the story: answers are lost, orders land late, and planners are killed and followed by
-// others that know nothing. However these meet, no engine is ordered to hold more than it has places for.
-TEST(EngineRecord, NoHistoryOfLateOrdersAndNewPlannersOverfillsAnEngine)
+// The same with random histories: responses are lost, orders arrive late, and planners are replaced by new ones without any
+// state. In none of them may an engine hold more adapters than its capacity.
+TEST(EngineRecord, DelayedOrdersAndNewPlannersNeverOverfillAnEngine)
 {
     CHECK_PROPERTY([] {
-        LateEngine engine;
+        DelayedEngine engine;
         StoreConcurrencyLimit storeLimit;
         UpstreamEntry listed;
         listed.description = description();
@@ -150,22 +150,22 @@
             }
             if (event == 0) {
                 planner = EngineRecord(description(), now);
-            } else if (event == 1 && !engine.late.empty()) {
-                engine.take(engine.late.front());
-                engine.late.erase(engine.late.begin());
+            } else if (event == 1 && !engine.delayed.empty()) {
+                engine.take(engine.delayed.front());
+                engine.delayed.erase(engine.delayed.begin());
             } else if (!planner.blocked()) {
-                auto held = planner.planned(listed, now).loaded[modelName];
-                bool load = held.size() < LateEngine::places && !held.contains(chosen);
+                auto held = planner.planningState(listed, now).loaded[modelName];
+                bool load = held.size() < DelayedEngine::capacity && !held.contains(chosen);
                 if (!load && !held.contains(chosen))
                     continue;
                 PlannedOrder wanted = order(load ? OrderKind::Load : OrderKind::Unload, adapter(chosen.value()));
                 EngineOrder sent = planner.onSending(wanted, now);
                 bool lost = event < 5;
                 if (lost)
-                    engine.late.push_back(sent);
+                    engine.delayed.push_back(sent);
                 planner.onAnswered(wanted, lost ? OrderOutcome::Unknown : engine.take(sent), now);
             }
         }
-        RC_ASSERT(engine.mostHeld <= LateEngine::places);
+        RC_ASSERT(engine.mostHeld <= DelayedEngine::capacity);
     });
 }
--- a/packages/direct/test/PlacementPlanTest.cpp
+++ b/packages/direct/test/PlacementPlanTest.cpp
@@ -16,7 +16,7 @@
 
 } // namespace
 
-// Engines with room for two models of three: what is loaded where is laid out by hand, and one plan is looked at.
+// Engines with memory for two models of 50 GB. Each test sets the loaded models and checks the planned orders.
 TEST_GROUP(PlacementPlan)
 {
     EngineTraits traits;
@@ -58,7 +58,7 @@
 
     void wait(const ModelTarget& target, int64_t waiting = 1, int64_t running = 0) { input.demand.push_back({ target, waiting, running, 100 }); }
 
-    // "load m at e" or "unload m at e", in the order in which they were given.
+    // "load m at e" or "unload m at e", in planning order.
     std::vector<std::string> orders()
     {
         std::vector<std::string> texts;
@@ -78,7 +78,7 @@
     }
 };
 
-TEST(PlacementPlan, AModelThatNobodyHoldsIsLoadedWhereItsCopyLies)
+TEST(PlacementPlan, LoadsUnloadedModelWhereItsWeightsAreCached)
 {
     addModel("m");
     addEngine("free", {});
@@ -87,10 +87,10 @@
     expectOrders({ "load m at disk" });
 }
 
-TEST(PlacementPlan, ACopyOnADiskWithAnEvictionIsFasterThanTheWeightStore)
+TEST(PlacementPlan, PrefersDiskWithEvictionToTheWeightStore)
 {
-    // A farmer waits six seconds where one would do: an engine with free memory would load the model from the weight
-    // store, while another has it on its disk but is full of models that nobody uses.
+    // Guards against a wait of six seconds instead of one: an engine with free memory loads the model from the weight store
+    // although another, full of unused models, has it on its disk.
     addModel("m");
     addModel("idle");
     addModel("old");
@@ -102,9 +102,9 @@
     CHECK_TRUE(given[0].starts_with("unload") && given[0].ends_with("at full"));
 }
 
-TEST(PlacementPlan, RoomThatWasMadeIsForTheModelThatWaits)
+TEST(PlacementPlan, FreedMemoryIsReservedForTheWaitingModel)
 {
-    // The model that was evicted would be loaded into its old place again before the one that callers wait for.
+    // Guards against loading the evicted model again before the one that callers wait for.
     addModel("m");
     addModel("idle");
     addModel("old", 50);
@@ -115,10 +115,10 @@
     expectOrders({ "load m at full" });
 }
 
-// Callers of seven models were sent away when the day's first calls came: each of seven engines in turn was told to unload a
-// model to make room for the same copy, as the engine that was making room already looked a little later than the next one.
-// Six rooms then stood empty for two seconds.
-TEST(PlacementPlan, RoomForOneCopyIsMadeOnce)
+// Guards against several evictions for one replica. An engine that is already evicting looks slightly slower than the next
+// one, so seven engines in turn unloaded a model for the same replica. Calls for seven models were rejected, and the memory
+// on six engines stayed empty for two seconds.
+TEST(PlacementPlan, EvictsOnlyOnceForOneReplica)
 {
     addModel("m");
     for (const char* id : { "one", "two", "three" }) {
@@ -144,9 +144,10 @@
     expectOrders({ "load m at " + first.id.value() });
 }
 
-TEST(PlacementPlan, RoomThatIsNotNeededAnyMoreIsForOthers)
+TEST(PlacementPlan, ReleasesReservationsThatAreNoLongerNeeded)
 {
-    // A model's callers had left before its room was free, and other models were kept out of it for two seconds.
+    // Guards against a reservation that outlives its need: the callers leave before the memory is free, and other models
+    // cannot use it for two seconds.
     addModel("m");
     addModel("idle");
     addModel("old");
@@ -162,7 +163,7 @@
     expectOrders({ "load n at full" });
 }
 
-TEST(PlacementPlan, WhatIsUsedIsNotEvicted)
+TEST(PlacementPlan, DoesNotEvictModelsInUse)
 {
     addModel("m");
     addModel("busy");
@@ -174,7 +175,7 @@
     expectOrders({});
 }
 
-TEST(PlacementPlan, TheModelThatWasNotAskedForTheLongestGoesFirst)
+TEST(PlacementPlan, EvictsLeastRecentlyUsedModelFirst)
 {
     addModel("m");
     addModel("new");
@@ -193,7 +194,7 @@
     expectOrders({ "unload old at full" });
 }
 
-TEST(PlacementPlan, NoOrderAsksForMoreThanFits)
+TEST(PlacementPlan, OrdersNeverExceedMemory)
 {
     addModel("m", 60);
     addModel("n", 60);
@@ -201,7 +202,7 @@
     wait(model("m"));
     wait(model("n"));
     LONGS_EQUAL(1, orders().size());
-    // What is being loaded has its memory already.
+    // A model that is being loaded occupies its memory.
     input.engines[0].running = RunningOrder { OrderKind::Load, base::ModelId("m"), LoadSource::WeightStore, std::chrono::seconds(6), start + std::chrono::seconds(6) };
     expectOrders({});
     input.engines[0].running.reset();
@@ -210,7 +211,7 @@
     expectOrders({});
 }
 
-TEST(PlacementPlan, OnlySoManyLoadsFromTheWeightStoreRunAtOnce)
+TEST(PlacementPlan, LimitsConcurrentLoadsFromTheWeightStore)
 {
     for (int number = 0; number < 8; ++number) {
         addModel("m" + std::to_string(number));
@@ -220,7 +221,7 @@
     LONGS_EQUAL(4, orders().size());
 }
 
-TEST(PlacementPlan, ModelsWithWaitingCallersGoBeforeIdleOnes)
+TEST(PlacementPlan, LoadsModelsWithWaitingCallersBeforeIdleOnes)
 {
     addModel("idle", 50);
     addModel("wanted", 50);
@@ -229,7 +230,7 @@
     expectOrders({ "load wanted at one" });
 }
 
-TEST(PlacementPlan, ABusyModelGetsAnotherCopy)
+TEST(PlacementPlan, BusyModelGetsAnotherReplica)
 {
     addModel("m");
     addEngine("one", { "m" }).inFlight = 8;
@@ -238,10 +239,10 @@
     expectOrders({ "load m at two" });
 }
 
-// Demand moved to a model with one copy. No caller waited at an entry, as the engine had 128 slots; but first tokens came a
-// second late for six seconds, since all prompts were read one after the other there, while other engines held models that
-// nobody used.
-TEST(PlacementPlan, AModelWhosePromptsQueueAtItsEngineGetsAnotherCopyInPlaceOfAnIdleOne)
+// Guards against long prefill queues that free slots hide. Demand moved to a model with one replica on an engine with 128
+// slots: no call waited at a gateway, but prompts are processed sequentially, so first tokens were a second late for six
+// seconds while other engines held unused models.
+TEST(PlacementPlan, LongPrefillQueuesAddAReplicaInPlaceOfAnIdleModel)
 {
     addModel("m");
     addModel("idle");
@@ -258,7 +259,7 @@
     CHECK_TRUE(given[0].starts_with("unload") && given[0].ends_with("at two"));
 }
 
-TEST(PlacementPlan, ACallerIsToldHowLongALoadTakes)
+TEST(PlacementPlan, ReportsExpectedLoadTimes)
 {
     addModel("m");
     addEngine("one", {}).onDisk.insert(base::ModelId("m"));
@@ -268,7 +269,7 @@
     LONGS_EQUAL(600, base::toMilliseconds(placement.expected[0].in));
 }
 
-TEST(PlacementPlan, AnAdapterGoesToAnEngineThatHoldsItsModel)
+TEST(PlacementPlan, LoadsAdapterOnEngineThatHoldsItsModel)
 {
     addModel("m", 50, 8);
     addEngine("other", {});
@@ -278,7 +279,7 @@
     CHECK_TRUE(std::find(given.begin(), given.end(), "load m/a1 at holder") != given.end());
 }
 
-TEST(PlacementPlan, AtAnEngineFullOfAdaptersAnUnusedOneGoes)
+TEST(PlacementPlan, UnloadsAnUnusedAdapterAtFullCapacity)
 {
     addModel("m", 50, 8);
     PlannedEngine& engine = addEngine("holder", { "m" });
@@ -288,26 +289,26 @@
     expectOrders({ "unload m/a2 at holder" });
 }
 
-TEST(PlacementPlan, WhatALeavingEngineHoldsIsLoadedElsewhere)
+TEST(PlacementPlan, LoadsModelsOfADrainingEngineElsewhere)
 {
     addModel("m");
-    addEngine("leaving", { "m" }).leaving = true;
+    addEngine("leaving", { "m" }).draining = true;
     addEngine("two", {});
     wait(model("m"), 0, 1);
     expectOrders({ "load m at two" });
 }
 
-TEST(PlacementPlan, AnEngineThatIsBusyWithAnUnknownOrderHoldsUpNoModel)
+TEST(PlacementPlan, DoesNotWaitForAnEngineWithAnUnknownOrder)
 {
-    // Callers of a busy model would be turned away for as long as an engine loads: after a change of planners its order is
-    // not known, and its free memory made it the best place for the copy that others could have loaded at once.
+    // Guards against waiting for an engine whose order is unknown after a change of planners: its free memory made it the
+    // best candidate, and calls for a busy model were rejected while other engines could have loaded it at once.
     addModel("m");
     addModel("idle");
     addModel("old");
     addEngine("one", { "m" }).inFlight = 8;
     PlannedEngine& unknown = addEngine("unknown", {});
     unknown.blocked = true;
-    unknown.busyUnknown = true;
+    unknown.runsUnknownOrder = true;
     addEngine("full", { "idle", "old" });
     wait(model("m"), 5, 8);
     auto given = orders();
@@ -315,7 +316,7 @@
     CHECK_TRUE(given[0].ends_with("at full"));
 }
 
-TEST(PlacementPlan, WhileCallersWaitTheStoreIsLeftToThem)
+TEST(PlacementPlan, ReservesTheWeightStoreForUrgentRequests)
 {
     addModel("wanted");
     addModel("absent");
@@ -325,13 +326,14 @@
     LONGS_EQUAL(1, orders().size());
 }
 
-TEST(PlacementPlan, AnAdapterThatIsOnItsWayOutIsNotUnloadedAgain)
+TEST(PlacementPlan, DoesNotUnloadAnAdapterTwice)
 {
-    // An engine was ordered eight times to unload one adapter that a call still used, and the count of its orders was lost.
+    // Guards against repeated unload orders for an adapter that a call still uses: one engine got eight of them, after which
+    // its order count was wrong.
     addModel("m", 50, 8);
     PlannedEngine& engine = addEngine("holder", { "m" });
     engine.loaded[base::ModelId("m")] = { AdapterId("a1"), AdapterId("a2") };
-    engine.adaptersLeaving = { model("m", "a2") };
+    engine.adaptersUnloading = { model("m", "a2") };
     wait(model("m", "a1"), 0, 1);
     wait(model("m", "a3"));
     expectOrders({});
@@ -339,9 +341,9 @@
 
 TEST_GROUP(StoreConcurrencyLimit) {};
 
-TEST(StoreConcurrencyLimit, LoadsThatTakeTwiceAsLongLowerTheNumberAtOnce)
+TEST(StoreConcurrencyLimit, SlowLoadsLowerTheLimit)
 {
-    // Callers wait for the sum of all loads: above the store's limit more loads at once only end later.
+    // Above the store's capacity additional concurrent loads only make all of them end later.
     StoreConcurrencyLimit storeLimit;
     size_t first = storeLimit.maxConcurrentLoads();
     storeLimit.onLoadEnded(std::chrono::seconds(6), std::chrono::seconds(12));
