--- a/packages/direct/include/toucanstep/direct/FleetReports.h
+++ b/packages/direct/include/toucanstep/direct/FleetReports.h
@@ -60,7 +60,7 @@
 // A target that was loaded or is being unloaded, known to the planner before the upstream list shows it.
 struct LoadedNotice {
     base::UpstreamId upstream;
-    StartMark start;
+    StartId start;
     ModelTarget target;
     bool loaded = false;
 };
--- a/packages/direct/src/CallDesk.cpp
+++ b/packages/direct/src/CallDesk.cpp
@@ -205,7 +205,7 @@
         if (!run->underWay())
             continue;
         const UpstreamEntry* entry = m_upstreams.find(run->upstream());
-        if (!entry || UpstreamTable::silent(*entry, time))
+        if (!entry || UpstreamTable::isUnresponsive(*entry, time))
             run->onUpstreamSilent();
     }
     if (!m_waiting.empty())
@@ -235,14 +235,14 @@
 
 void CallDesk::heardFrom(const base::UpstreamId& upstream)
 {
-    m_upstreams.onHeard(upstream, now());
+    m_upstreams.onBytesReceived(upstream, now());
     m_crashes.onHeard(upstream, now());
 }
 
 void CallDesk::suspectCrash(const base::UpstreamId& upstream, const routing::RequestFingerprint& fingerprint)
 {
     const UpstreamEntry* entry = m_upstreams.find(upstream);
-    m_crashes.onBroken({ upstream, entry ? entry->description.start : StartMark(), fingerprint, now() });
+    m_crashes.onBroken({ upstream, entry ? entry->description.start : StartId(), fingerprint, now() });
 }
 
 void CallDesk::strikeForCrashes()
--- /dev/null
+++ b/packages/direct/src/EngineController.h
@@ -0,0 +1,57 @@
+// Sends the planner's orders to engines and fetches the engines' reports.
+//
+// Only the gateway that is the planner uses it. An engine gets one request at a time; its EngineRecord holds its state.
+
+#pragma once
+
+#include "EngineRecord.h"
+#include "toucanstep/direct/UpstreamTable.h"
+#include "toucanstep/direct/WireFormat.h"
+#include "toucanstep/http1/Client.h"
+
+#include <functional>
+#include <map>
+#include <memory>
+#include <vector>
+
+namespace toucanstep::direct {
+
+class EngineController {
+public:
+    // `onFenced` is called when an engine has seen a newer planner's order, `onChange` when the notices have changed.
+    EngineController(io::EventLoop&, http1::Client&, const WireFormat&, std::string holder, std::function<void()> onFenced, std::function<void()> onChange);
+    ~EngineController();
+
+    // Starts a new term as the planner: drops the state of all engines.
+    void startTerm(base::Epoch fence);
+    void onUpstream(const UpstreamDescription&);
+    void onUpstreamGone(const base::UpstreamId&);
+    // The planner's input for the engines of a service. Adds records for new engines, whose reports are then due.
+    std::vector<PlannedEngine> engines(const UpstreamTable&, const base::ServiceId&, base::Instant now);
+    void execute(const PlannedOrder&, base::Instant now);
+    // Fetches the reports that are due.
+    void tick(base::Instant now);
+    // Changes that the list may not show yet.
+    std::vector<LoadedNotice> notices() const;
+    size_t maxStoreLoads() const { return m_storeLimit.maxConcurrentLoads(); }
+
+private:
+    using EnginePointer = std::shared_ptr<EngineRecord>;
+    using ResponseHandler = std::function<void(const EnginePointer&, const base::Outcome<http1::FetchedAnswer>&)>;
+    void fetchReport(const EnginePointer&);
+    // Calls `handler` with the response unless the engine's record has been removed meanwhile.
+    void sendRequest(const EnginePointer&, const ControlRequest&, ResponseHandler handler);
+    void onOrderAnswered(const EnginePointer&, const PlannedOrder&, OrderOutcome);
+
+    io::EventLoop& m_loop;
+    http1::Client& m_client;
+    const WireFormat& m_format;
+    std::string m_holder;
+    std::function<void()> m_onFenced;
+    std::function<void()> m_onChange;
+    base::Epoch m_fence;
+    std::map<base::UpstreamId, EnginePointer> m_engines;
+    StoreConcurrencyLimit m_storeLimit;
+};
+
+} // namespace toucanstep::direct
--- a/packages/direct/src/GatewayCore.cpp
+++ b/packages/direct/src/GatewayCore.cpp
@@ -125,11 +125,11 @@
     , m_storeClient(loop)
     , m_store(makeStore(loop, m_storeClient, watchPollSettings(m_settings)))
     , m_calls(loop, m_client, *m_format, m_metrics, callSettings(m_settings))
-    , m_orders(
-          loop, m_client, *m_format, m_settings.instance.value(), [this] { m_election.lose("an engine has seen a newer fencing token"); }, [this] { scheduleCoalesced(m_planReportTimer, &GatewayCore::sendPlanNow); scheduleCoalesced(m_planTimer, &GatewayCore::planNow); })
+    , m_engineController(
+          loop, m_client, *m_format, m_settings.instance.value(), [this] { m_election.resign("an engine has seen a newer fencing token"); }, [this] { scheduleCoalesced(m_planReportTimer, &GatewayCore::sendPlanNow); scheduleCoalesced(m_planTimer, &GatewayCore::planNow); })
     , m_planner(PlacementSettings {})
     , m_mirror(loop, *m_store, m_client, mirrorSettings(m_settings, *m_format), *this)
-    , m_election(loop, *m_store, m_mirror.part(StorePart::Fleet), m_settings, [this] { onBecamePlanner(); })
+    , m_election(loop, *m_store, m_mirror.part(StorePart::Fleet), m_settings, [this] { onElected(); })
     , m_operatorHandler(std::make_unique<OperatorHandler>(*this))
     , m_incarnation(wallMilliseconds())
 {
@@ -163,11 +163,11 @@
 void GatewayCore::tick()
 {
     base::Instant now = m_loop.now();
-    m_election.beat();
+    m_election.tick();
     setPeersLoad();
     sendLoadReport();
     m_calls.tick();
-    if (m_election.duty().mayOrder(now))
+    if (m_election.leadership().maySendOrders(now))
         plan();
     else if (isPlanner())
         readEngines();
@@ -212,7 +212,7 @@
 
 void GatewayCore::planNow()
 {
-    if (m_election.duty().mayOrder(m_loop.now()))
+    if (m_election.leadership().maySendOrders(m_loop.now()))
         plan();
 }
 
@@ -250,7 +250,7 @@
         base::UpstreamId id(key.substr(m_format->upstreamPrefix().size()));
         base::LogLine("upstream_gone").add("upstream", id);
         m_calls.upstreams().remove(id);
-        m_orders.onUpstreamGone(id);
+        m_engineController.onUpstreamGone(id);
         m_client.forget(id.value());
     } else if (key.starts_with(memberPrefix)) {
         updatePeers();
@@ -305,7 +305,7 @@
     if (!known || known->description.draining != description->draining || known->description.start != description->start) {
         base::LogLine("upstream_seen").add("upstream", description->id).add("service", description->service).add("endpoint", description->endpoint.text()).add("draining", description->draining ? "yes" : "no").add("models", description->loaded.size());
     }
-    m_orders.onUpstream(*description);
+    m_engineController.onUpstream(*description);
     m_calls.upstreams().put(std::move(*description), m_loop.now());
 }
 
@@ -387,7 +387,7 @@
     if (!isPlanner() || now < m_nextPlanReport)
         return;
     m_nextPlanReport = now + planReportInterval;
-    PlanReport report { nextSender(), m_election.duty().fence(), m_orders.notices(), m_expectedLoads };
+    PlanReport report { nextSender(), m_election.leadership().fence(), m_engineController.notices(), m_expectedLoads };
     m_transport->sendToAll(report);
     onPlanReport(report);
 }
@@ -441,12 +441,12 @@
     m_planFence = report.fence;
     if (report.sender.instance != m_settings.instance) {
         m_plannerPeer = report.sender.instance;
-        if (isPlanner() && report.fence > m_election.duty().fence())
-            m_election.lose("another gateway is planning with a newer fencing token");
+        if (isPlanner() && report.fence > m_election.leadership().fence())
+            m_election.resign("another gateway is planning with a newer fencing token");
     }
     base::Instant until = m_loop.now() + noticeLifetime;
     for (const auto& notice : report.notices)
-        m_calls.upstreams().notice(notice, until);
+        m_calls.upstreams().addNotice(notice, until);
     m_calls.setExpectedLoads(report.expected);
     m_calls.notePlanner();
     m_calls.wakeWaiting();
@@ -454,9 +454,9 @@
 
 // ---- planner role
 
-void GatewayCore::onBecamePlanner()
+void GatewayCore::onElected()
 {
-    m_orders.begin(m_election.duty().fence());
+    m_engineController.startTerm(m_election.leadership().fence());
     m_plannerPeer.reset();
 }
 
@@ -469,9 +469,9 @@
     base::Instant now = m_loop.now();
     for (const auto& service : state->services) {
         if (service.engine)
-            m_orders.engines(m_calls.upstreams(), service.id, now);
+            m_engineController.engines(m_calls.upstreams(), service.id, now);
     }
-    m_orders.tick(now);
+    m_engineController.tick(now);
 }
 
 void GatewayCore::plan()
@@ -480,8 +480,8 @@
     if (!state)
         return;
     base::Instant now = m_loop.now();
-    m_election.settle();
-    m_orders.tick(now);
+    m_election.recordLastPlanner();
+    m_engineController.tick(now);
     std::map<ModelTarget, TargetDemand> demand;
     auto add = [&](const std::vector<TargetDemand>& entries) {
         for (const auto& entry : entries) {
@@ -505,15 +505,15 @@
         PlacementInput input;
         input.now = now;
         input.traits = &*service.engine;
-        input.storeLoadsAtOnce = m_orders.storeLoadsAtOnce();
-        input.engines = m_orders.engines(m_calls.upstreams(), service.id, now);
+        input.maxStoreLoads = m_engineController.maxStoreLoads();
+        input.engines = m_engineController.engines(m_calls.upstreams(), service.id, now);
         for (const auto& [target, entry] : demand) {
             if (service.engine->findModel(target.model))
                 input.demand.push_back(entry);
         }
         Placement placement = m_planner.plan(input);
         for (const auto& order : placement.orders)
-            m_orders.execute(order, now);
+            m_engineController.execute(order, now);
         m_expectedLoads.insert(m_expectedLoads.end(), placement.expected.begin(), placement.expected.end());
     }
 }
--- a/packages/direct/src/GatewayCore.h
+++ b/packages/direct/src/GatewayCore.h
@@ -3,9 +3,9 @@
 #pragma once
 
 #include "CallDesk.h"
-#include "DutyKeeper.h"
+#include "EngineController.h"
 #include "FleetTransport.h"
-#include "OrderDesk.h"
+#include "LeaderElection.h"
 #include "StoreMirror.h"
 #include "toucanstep/direct/DirectGateway.h"
 
@@ -57,8 +57,8 @@
     // Peers with a recent report, starting after this gateway's own name, so that gateways ask different peers.
     std::vector<CopySource> copySources() const;
 
-    bool isPlanner() const { return m_election.duty().holds(); }
-    void onBecamePlanner();
+    bool isPlanner() const { return m_election.leadership().isLeader(); }
+    void onElected();
 
     ReportSender nextSender();
     bool ready() const;
@@ -73,10 +73,10 @@
     http1::Client m_storeClient;
     std::unique_ptr<base::KeyValueStore> m_store;
     CallDesk m_calls;
-    OrderDesk m_orders;
+    EngineController m_engineController;
     PlacementPlanner m_planner;
     StoreMirror m_mirror;
-    DutyKeeper m_election;
+    LeaderElection m_election;
     std::unique_ptr<OperatorHandler> m_operatorHandler;
     std::unique_ptr<FleetTransport> m_transport;
     std::unique_ptr<http1::Server> m_callerServer;
--- a/packages/direct/test/DecisionTest.cpp
+++ b/packages/direct/test/DecisionTest.cpp
@@ -3,7 +3,7 @@
 #include "toucanstep/direct/DesiredState.h"
 #include "toucanstep/direct/Dispatch.h"
 #include "toucanstep/direct/FleetReports.h"
-#include "toucanstep/direct/PlannerDuty.h"
+#include "toucanstep/direct/PlannerLeadership.h"
 #include "toucanstep/testing/Property.h"
 
 #include <CppUTest/TestHarness.h>
@@ -50,7 +50,7 @@
     Obstacle obstacle(const DispatchQuery& query) { return chooseUpstream(table, query, now).obstacle; }
 };
 
-TEST(Dispatch, ACallGoesToTheLeastBusyEngineThatHoldsItsModel)
+TEST(Dispatch, ChoosesLeastBusyEngineThatHoldsTheModel)
 {
     table.put(engine("one", "m"), now);
     table.put(engine("two", "m"), now);
@@ -59,10 +59,10 @@
     STRCMP_EQUAL("two", chosen(asks("m")).c_str());
 }
 
-TEST(Dispatch, CallsThatComeToSeveralGatewaysAtOnceSpreadOverIdleUpstreams)
+TEST(Dispatch, SpreadsSimultaneousCallsOfSeveralGatewaysOverIdleUpstreams)
 {
-    // Callers would queue at one engine while others idle: gateways that have not heard of each other's calls all find the
-    // same engines idle, and each sends its call to the first of the list.
+    // Guards against a queue at one engine while others are idle: gateways that do not know each other's calls yet see the same
+    // idle engines, and each would choose the first in the list.
     for (const char* id : { "one", "two", "three" })
         table.put(engine(id, "m"), now);
     std::set<std::string> used;
@@ -74,7 +74,7 @@
     LONGS_EQUAL(3, used.size());
 }
 
-TEST(Dispatch, CallsOfOtherGatewaysCount)
+TEST(Dispatch, CountsCallsOfOtherGateways)
 {
     table.put(engine("one", "m"), now);
     table.put(engine("two", "m"), now);
@@ -82,10 +82,10 @@
     STRCMP_EQUAL("two", chosen(asks("m")).c_str());
 }
 
-TEST(Dispatch, ACallGoesWhereFewerPromptsWaitToBeRead)
+TEST(Dispatch, PrefersEngineWithFewerPromptsInPrefillQueue)
 {
-    // First tokens would come late although another engine could have given them at once: an engine with many slots looked
-    // idle with a dozen calls whose prompts it had yet to read, and a shared beginning drew more of them there.
+    // Guards against late first tokens while another engine is free: an engine with many slots looked idle although a dozen
+    // prompts were queued there, and prefix affinity sent more calls to it.
     table.put(engine("one", "m", 128), now);
     table.put(engine("two", "m", 128), now);
     DispatchQuery query = asks("m");
@@ -99,13 +99,13 @@
         table.onAnswerBegun(base::UpstreamId(other));
     }
     STRCMP_EQUAL(other.c_str(), chosen(query).c_str());
-    // The answers have begun: what they share draws the call again.
+    // The responses have begun, so prefix affinity decides again.
     for (int call = 0; call < 4; ++call)
         table.onAnswerBegun(base::UpstreamId(home));
     STRCMP_EQUAL(home.c_str(), chosen(query).c_str());
 }
 
-TEST(Dispatch, WhatStandsInTheWayIsTold)
+TEST(Dispatch, ReportsTheObstacle)
 {
     CHECK_TRUE(obstacle(asks("m")) == Obstacle::NoUpstream);
     table.put(engine("one", "m", 1), now);
@@ -115,7 +115,7 @@
     CHECK_TRUE(obstacle(asks("m")) == Obstacle::Full);
 }
 
-TEST(Dispatch, ALeavingEngineGetsNoNewWork)
+TEST(Dispatch, DrainingEngineGetsNoNewCalls)
 {
     UpstreamDescription leaving = engine("one", "m");
     leaving.draining = true;
@@ -123,7 +123,7 @@
     CHECK_TRUE(obstacle(asks("m")) == Obstacle::NoUpstream);
 }
 
-TEST(Dispatch, AnUpstreamThatWasTriedIsNotTriedAgain)
+TEST(Dispatch, TriedUpstreamIsNotChosenAgain)
 {
     table.put(engine("one", "m"), now);
     std::set<base::UpstreamId> tried { base::UpstreamId("one") };
@@ -132,9 +132,9 @@
     CHECK_TRUE(obstacle(query) == Obstacle::NoUpstream);
 }
 
-TEST(Dispatch, AnEngineThatFailsGetsLessAndThenIsTriedAgain)
+TEST(Dispatch, FailingEngineGetsFewerCallsUntilFailuresDecay)
 {
-    // Callers would lose a part of their calls for as long as an engine fails them while its own check says that it is well.
+    // Guards against losing a share of the calls to an engine that fails them while its health check succeeds.
     table.put(engine("one", "m"), now);
     table.put(engine("two", "m"), now);
     table.onDispatched(base::UpstreamId("two"), now);
@@ -144,7 +144,7 @@
     STRCMP_EQUAL("one", chosen(asks("m")).c_str());
 }
 
-TEST(Dispatch, AnUnreachableUpstreamIsLeftOutForAMoment)
+TEST(Dispatch, UnreachableUpstreamIsSkippedForAWhile)
 {
     table.put(engine("one", "m"), now);
     table.onUnreachable(base::UpstreamId("one"), now);
@@ -153,7 +153,7 @@
     STRCMP_EQUAL("one", chosen(asks("m")).c_str());
 }
 
-TEST(Dispatch, ASilentEngineIsTheLastChoice)
+TEST(Dispatch, UnresponsiveEngineIsTheLastChoice)
 {
     table.put(engine("one", "m"), now);
     table.put(engine("two", "m"), now);
@@ -162,11 +162,11 @@
     for (int count = 0; count < 3; ++count)
         table.onDispatched(base::UpstreamId("two"), now);
     STRCMP_EQUAL("two", chosen(asks("m")).c_str());
-    table.onHeard(base::UpstreamId("one"), now);
+    table.onBytesReceived(base::UpstreamId("one"), now);
     STRCMP_EQUAL("one", chosen(asks("m")).c_str());
 }
 
-TEST(Dispatch, CallsThatShareAPromptMeetAtOneEngine)
+TEST(Dispatch, CallsWithASharedPromptGoToOneEngine)
 {
     for (const char* id : { "one", "two", "three" })
         table.put(engine(id, "m", 32), now);
@@ -177,24 +177,24 @@
     STRCMP_EQUAL(first.c_str(), chosen(query).c_str());
 }
 
-TEST(Dispatch, ThePlannersNoticeGoesBeforeTheListUntilItExpires)
+TEST(Dispatch, PlannerNoticeOverridesTheListUntilItExpires)
 {
     table.put(engine("one", "m"), now);
-    table.notice({ base::UpstreamId("one"), StartMark(), { base::ModelId("n"), AdapterId() }, true }, now + std::chrono::seconds(1));
-    table.notice({ base::UpstreamId("one"), StartMark(), { base::ModelId("m"), AdapterId() }, false }, now + std::chrono::seconds(1));
+    table.addNotice({ base::UpstreamId("one"), StartId(), { base::ModelId("n"), AdapterId() }, true }, now + std::chrono::seconds(1));
+    table.addNotice({ base::UpstreamId("one"), StartId(), { base::ModelId("m"), AdapterId() }, false }, now + std::chrono::seconds(1));
     STRCMP_EQUAL("one", chosen(asks("n")).c_str());
     CHECK_TRUE(obstacle(asks("m")) == Obstacle::NotLoaded);
     now += std::chrono::seconds(1);
     STRCMP_EQUAL("one", chosen(asks("m")).c_str());
 }
 
-TEST(Dispatch, AnotherStartOfAnEngineHasNothingOfTheOldOne)
+TEST(Dispatch, RestartedEngineLosesTheOldState)
 {
     table.put(engine("one", "m"), now);
-    table.notice({ base::UpstreamId("one"), StartMark(), { base::ModelId("n"), AdapterId() }, true }, now + std::chrono::seconds(9));
+    table.addNotice({ base::UpstreamId("one"), StartId(), { base::ModelId("n"), AdapterId() }, true }, now + std::chrono::seconds(9));
     table.onFailure(base::UpstreamId("one"), now);
     UpstreamDescription again = engine("one", "m");
-    again.start = StartMark(7);
+    again.start = StartId(7);
     table.put(again, now);
     CHECK_TRUE(obstacle(asks("n")) == Obstacle::NotLoaded);
     DOUBLES_EQUAL(0, UpstreamTable::recentFailures(*table.find(base::UpstreamId("one")), now), 0.001);
@@ -202,7 +202,7 @@
 
 TEST_GROUP(DesiredState) {};
 
-TEST(DesiredState, TheLongestPrefixOfTheHostWins)
+TEST(DesiredState, LongestPathPrefixOfTheHostWins)
 {
     DesiredState state;
     for (const char* prefix : { "/a/", "/a/b/", "/" }) {
@@ -219,85 +219,86 @@
     CHECK_TRUE(state.findRoute("other.example", "/a/") == nullptr);
 }
 
-TEST_GROUP(PlannerDuty)
+TEST_GROUP(PlannerLeadership)
 {
-    PlannerDuty duty { { std::chrono::milliseconds(1500), std::chrono::milliseconds(300), std::chrono::seconds(3) }, base::InstanceId("self"), false };
+    PlannerLeadership leadership { { std::chrono::milliseconds(1500), std::chrono::milliseconds(300), std::chrono::seconds(3) }, base::InstanceId("self"), false };
     const base::InstanceId self { "self" };
     const base::InstanceId other { "other" };
 };
 
-TEST(PlannerDuty, TheLeaseCountsFromTheMomentTheRenewalWasSent)
+TEST(PlannerLeadership, LeaseCountsFromTheTimeTheRenewalWasSent)
 {
-    // Two gateways would order the same engine: a machine stands still while the answer to its renewal is on the way, and
-    // counts the lease from the moment at which it reads that answer.
-    duty.onAcquired(base::Epoch(4), start, start, true);
-    CHECK_TRUE(duty.mayOrder(start + std::chrono::milliseconds(1199)));
-    CHECK_FALSE(duty.mayOrder(start + std::chrono::milliseconds(1200)));
-    duty.onRenewed(start + std::chrono::milliseconds(500));
-    CHECK_TRUE(duty.mayOrder(start + std::chrono::milliseconds(1600)));
-    CHECK_FALSE(duty.mayOrder(start + std::chrono::milliseconds(1700)));
+    // Guards against two planners at once: a machine is suspended while the response to its renewal is in flight, and would
+    // count the lease from the time at which it reads the response.
+    leadership.onAcquired(base::Epoch(4), start, start, true);
+    CHECK_TRUE(leadership.maySendOrders(start + std::chrono::milliseconds(1199)));
+    CHECK_FALSE(leadership.maySendOrders(start + std::chrono::milliseconds(1200)));
+    leadership.onRenewed(start + std::chrono::milliseconds(500));
+    CHECK_TRUE(leadership.maySendOrders(start + std::chrono::milliseconds(1600)));
+    CHECK_FALSE(leadership.maySendOrders(start + std::chrono::milliseconds(1700)));
 }
 
-TEST(PlannerDuty, ASuccessorWaitsWhereEnginesDoNotCheckFences)
+TEST(PlannerLeadership, SuccessorPausesBeforeItsFirstOrder)
 {
-    duty.onAcquired(base::Epoch(4), start, start, false);
-    duty.onRenewed(start + std::chrono::seconds(10));
-    CHECK_FALSE(duty.mayOrder(start + std::chrono::milliseconds(2999)));
-    CHECK_TRUE(duty.mayOrder(start + std::chrono::seconds(3)));
+    leadership.onAcquired(base::Epoch(4), start, start, false);
+    leadership.onRenewed(start + std::chrono::seconds(10));
+    CHECK_FALSE(leadership.maySendOrders(start + std::chrono::milliseconds(2999)));
+    CHECK_TRUE(leadership.maySendOrders(start + std::chrono::seconds(3)));
 }
 
-TEST(PlannerDuty, ALostDutyOrdersNothing)
+TEST(PlannerLeadership, NoOrdersAfterLeadershipIsLost)
 {
-    duty.onAcquired(base::Epoch(4), start, start, true);
-    duty.onLost();
-    CHECK_FALSE(duty.mayOrder(start));
+    leadership.onAcquired(base::Epoch(4), start, start, true);
+    leadership.onLost();
+    CHECK_FALSE(leadership.maySendOrders(start));
 }
 
-// All gateways were killed and came back within a second. Nothing was loaded for five more: the old planner's key stood until
-// its lease ended, another gateway took the duty then, and paused although the last planner could have gone on.
-TEST(PlannerDuty, TheLastPlannerTakesItsDutyUpAgainWithoutAPause)
-{
-    DutyRecord record { self, self };
-    CHECK_TRUE(duty.isOpen(record, start));
-    CHECK_TRUE(duty.goesOn(record));
-    duty.onAcquired(base::Epoch(4), start, start, duty.goesOn(record));
-    CHECK_TRUE(duty.mayOrder(start));
-    CHECK_FALSE(duty.unsettled());
+// Guards against a long pause after all gateways are killed and restarted within a second: the old planner's key stays until
+// its lease ends, and another gateway then becomes the planner and pauses. Nothing was loaded for five seconds, although the
+// last planner could have resumed at once.
+TEST(PlannerLeadership, LastPlannerResumesWithoutAPause)
+{
+    LeadershipRecord record { self, self };
+    CHECK_TRUE(leadership.mayCampaign(record, start));
+    CHECK_TRUE(leadership.canResume(record));
+    leadership.onAcquired(base::Epoch(4), start, start, leadership.canResume(record));
+    CHECK_TRUE(leadership.maySendOrders(start));
+    CHECK_FALSE(leadership.needsRecording());
 }
 
-TEST(PlannerDuty, OthersLeaveAnOpenDutyToTheLastPlannerForAMoment)
+TEST(PlannerLeadership, OtherGatewaysGiveTheLastPlannerAHeadStart)
 {
-    DutyRecord record { std::nullopt, other };
-    CHECK_FALSE(duty.isOpen(record, start));
-    CHECK_FALSE(duty.isOpen(record, start + std::chrono::milliseconds(399)));
-    CHECK_TRUE(duty.isOpen(record, start + std::chrono::milliseconds(400)));
-    CHECK_FALSE(duty.goesOn(record));
-    // Somebody had it meanwhile: the moment begins anew.
-    CHECK_FALSE(duty.isOpen({ other, other }, start + std::chrono::seconds(1)));
-    CHECK_FALSE(duty.isOpen(record, start + std::chrono::seconds(2)));
+    LeadershipRecord record { std::nullopt, other };
+    CHECK_FALSE(leadership.mayCampaign(record, start));
+    CHECK_FALSE(leadership.mayCampaign(record, start + std::chrono::milliseconds(399)));
+    CHECK_TRUE(leadership.mayCampaign(record, start + std::chrono::milliseconds(400)));
+    CHECK_FALSE(leadership.canResume(record));
+    // There was a planner meanwhile, so the head start begins anew.
+    CHECK_FALSE(leadership.mayCampaign({ other, other }, start + std::chrono::seconds(1)));
+    CHECK_FALSE(leadership.mayCampaign(record, start + std::chrono::seconds(2)));
 }
 
-// A gateway took the duty from another, was killed while it paused, and came back: it must not take itself for the last that
-// gave orders, or the orders of two planners would mingle at an engine.
-TEST(PlannerDuty, AProcessThatStartsAgainWithinItsPausePausesAnew)
+// Guards against interleaved orders of two planners: a gateway that was elected, killed during its pause and restarted must
+// not regard itself as the last one that sent orders.
+TEST(PlannerLeadership, ProcessRestartedDuringItsPausePausesAgain)
 {
-    DutyRecord paused { self, base::InstanceId() };
-    CHECK_TRUE(duty.isOpen(paused, start));
-    CHECK_FALSE(duty.goesOn(paused));
-    duty.onAcquired(base::Epoch(4), start, start, duty.goesOn(paused));
-    CHECK_FALSE(duty.mayOrder(start + std::chrono::seconds(1)));
-    CHECK_TRUE(duty.unsettled());
+    LeadershipRecord paused { self, base::InstanceId() };
+    CHECK_TRUE(leadership.mayCampaign(paused, start));
+    CHECK_FALSE(leadership.canResume(paused));
+    leadership.onAcquired(base::Epoch(4), start, start, leadership.canResume(paused));
+    CHECK_FALSE(leadership.maySendOrders(start + std::chrono::seconds(1)));
+    CHECK_TRUE(leadership.needsRecording());
 }
 
-TEST(PlannerDuty, OnlyAFirstStartNeedsNoPauseWithoutALastPlanner)
+TEST(PlannerLeadership, WithoutALastPlannerOnlyAFirstStartNeedsNoPause)
 {
-    CHECK_FALSE(duty.goesOn({}));
-    CHECK_TRUE(PlannerDuty({}, self, true).goesOn({}));
+    CHECK_FALSE(leadership.canResume({}));
+    CHECK_TRUE(PlannerLeadership({}, self, true).canResume({}));
 }
 
 TEST_GROUP(FleetReports) {};
 
-TEST(FleetReports, EveryKindComesBackAsItWasSent)
+TEST(FleetReports, EveryReportTypeRoundTrips)
 {
     ReportSender sender { base::InstanceId("g"), Incarnation(5), 9 };
     LoadReport load { sender, ConfigurationVersion(3), { base::Revision(40), base::Revision(39), base::Revision(41) }, true, { { base::UpstreamId("e"), { 2, 1 } } } };
@@ -321,29 +322,30 @@
     LONGS_EQUAL(300, demandBack.demand.at(0).arrivalsPerKilosecond);
     LONGS_EQUAL(1500, demandBack.demand.at(0).awaitingThousandths);
 
-    PlanReport plan { sender, base::Epoch(6), { { base::UpstreamId("e"), StartMark(8), { base::ModelId("m"), AdapterId() }, true } }, { { { base::ModelId("n"), AdapterId() }, std::chrono::milliseconds(250) } } };
+    PlanReport plan { sender, base::Epoch(6), { { base::UpstreamId("e"), StartId(8), { base::ModelId("m"), AdapterId() }, true } }, { { { base::ModelId("n"), AdapterId() }, std::chrono::milliseconds(250) } } };
     auto planBack = std::get<PlanReport>(*decodeReport(encodeReport(plan)));
     LONGS_EQUAL(6, planBack.fence.value());
     CHECK_TRUE(planBack.notices.at(0).loaded);
     LONGS_EQUAL(250, base::toMilliseconds(planBack.expected.at(0).in));
 }
 
-TEST(FleetReports, BytesThatAreNoReportGiveNothing)
+TEST(FleetReports, RejectsInvalidBytes)
 {
     CHECK_FALSE(decodeReport("").has_value());
     CHECK_FALSE(decodeReport("\x93\x01\x02\x03").has_value());
     CHECK_PROPERTY([](const std::string& bytes) { decodeReport(bytes); });
 }
 
-TEST(FleetReports, ANumberThatDoesNotFitGivesNothing)
+TEST(FleetReports, RejectsOutOfRangeNumbers)
 {
-    // A datagram from anyone could set counts to any value: a fraction beyond all whole numbers was converted.
+    // Guards against the conversion of a floating-point number outside the integer range, by which a datagram from any sender
+    // could set counts to arbitrary values.
     CHECK_FALSE(decodeReport(std::string("\x92\x94\x02\xa1g\xcb\x7f\xef\xff\xff\xff\xff\xff\xff\x09\x90", 16)).has_value());
     PlanReport plan { { base::InstanceId("g"), Incarnation(5), 9 }, base::Epoch(6), {}, { { { base::ModelId("n"), AdapterId() }, std::chrono::hours(48) } } };
     CHECK_FALSE(decodeReport(encodeReport(plan)).has_value());
 }
 
-TEST(FleetReports, AReportCutAnywhereGivesNothing)
+TEST(FleetReports, RejectsTruncatedReports)
 {
     std::string whole = encodeReport(DemandReport { { base::InstanceId("g"), Incarnation(5), 9 }, { { { base::ModelId("m"), AdapterId("a1") }, 1, 2, 300 } } });
     for (size_t size = 0; size < whole.size(); ++size)
@@ -352,7 +354,7 @@
 
 TEST_GROUP(EventSplitter) {};
 
-TEST(EventSplitter, OnlyWholeEventsArePassedOn)
+TEST(EventSplitter, PassesOnOnlyCompleteEvents)
 {
     EventSplitter events;
     STRCMP_EQUAL("", events.feed("id: 1\ndata: a\n").c_str());
@@ -365,7 +367,7 @@
     CHECK_FALSE(events.hasPartial());
 }
 
-TEST(EventSplitter, HoweverAStreamIsCutItsEventsAreTheSame)
+TEST(EventSplitter, EventsDoNotDependOnChunkBoundaries)
 {
     CHECK_PROPERTY([] {
         std::string stream;
@@ -385,7 +387,7 @@
 
 TEST_GROUP(DemandBook) {};
 
-TEST(DemandBook, DemandThatEndedFadesAndIsForgotten)
+TEST(DemandBook, EndedDemandDecaysAndIsRemoved)
 {
     DemandBook book;
     ModelTarget target { base::ModelId("m"), AdapterId() };
@@ -399,7 +401,7 @@
     LONGS_EQUAL(1, book.summary(now + std::chrono::seconds(120)).at(0).waiting);
 }
 
-TEST(DemandBook, CallsWhosePromptsWaitAreAveragedOverASecondOrTwo)
+TEST(DemandBook, QueuedPromptsAreAveragedOverTime)
 {
     DemandBook book;
     ModelTarget target { base::ModelId("m"), AdapterId() };
