--- a/packages/routing/include/toucanstep/routing/Quarantine.h
+++ b/packages/routing/include/toucanstep/routing/Quarantine.h
@@ -76,17 +76,17 @@
 // A request that must run alone starts only on an idle upstream, and nothing starts beside it. Once such a request has
 // waited for `patience`, nothing else starts until it has run; then others get at least `patience` again. So neither
 // starves, and a caller with many suspected requests takes a bounded part of the upstream.
-class SoloGate {
+class IsolationGate {
 public:
-    explicit SoloGate(base::Duration patience);
+    explicit IsolationGate(base::Duration patience);
     // A request that must run alone is queued and could start otherwise.
-    void aloneWaits(base::Instant now);
+    void isolatedRequestQueued(base::Instant now);
     // No such request is queued any more.
-    void noneWaits() { m_waitingSince.reset(); }
+    void noIsolatedRequestQueued() { m_waitingSince.reset(); }
     bool mayStart(QuarantineState, int64_t inFlight, base::Instant now) const;
     void started(const base::RequestId&, QuarantineState);
     void ended(const base::RequestId&);
-    bool busy() const { return m_alone.has_value(); }
+    bool isolatedRequestRunning() const { return m_alone.has_value(); }
 
 private:
     base::Duration m_patience;
--- a/packages/routing/src/Quarantine.cpp
+++ b/packages/routing/src/Quarantine.cpp
@@ -103,18 +103,18 @@
     return messages;
 }
 
-SoloGate::SoloGate(base::Duration patience)
+IsolationGate::IsolationGate(base::Duration patience)
     : m_patience(patience)
 {
 }
 
-void SoloGate::aloneWaits(base::Instant now)
+void IsolationGate::isolatedRequestQueued(base::Instant now)
 {
     if (!m_waitingSince && !m_alone)
         m_waitingSince = now;
 }
 
-bool SoloGate::mayStart(QuarantineState state, int64_t inFlight, base::Instant now) const
+bool IsolationGate::mayStart(QuarantineState state, int64_t inFlight, base::Instant now) const
 {
     if (state == QuarantineState::Refused || m_alone)
         return false;
@@ -123,7 +123,7 @@
     return !m_waitingSince || now - *m_waitingSince < m_patience;
 }
 
-void SoloGate::started(const base::RequestId& request, QuarantineState state)
+void IsolationGate::started(const base::RequestId& request, QuarantineState state)
 {
     if (state != QuarantineState::Alone)
         return;
@@ -131,7 +131,7 @@
     m_waitingSince.reset();
 }
 
-void SoloGate::ended(const base::RequestId& request)
+void IsolationGate::ended(const base::RequestId& request)
 {
     if (m_alone == request)
         m_alone.reset();
--- a/packages/routing/test/QuarantineTest.cpp
+++ b/packages/routing/test/QuarantineTest.cpp
@@ -76,7 +76,7 @@
 private:
     struct Upstream {
         Quarantine quarantine { {} };
-        SoloGate gate { 1s };
+        IsolationGate gate { 1s };
         std::map<base::RequestId, RequestFingerprint> inFlight;
         int crashes = 0;
     };
@@ -168,9 +168,9 @@
 {
     // An innocent request with a strike waits on a busy upstream. New requests kept starting, the upstream was never
     // idle, and the caller's deadline passed.
-    SoloGate gate(1s);
+    IsolationGate gate(1s);
     base::RequestId suspect("s");
-    gate.aloneWaits(at(0s));
+    gate.isolatedRequestQueued(at(0s));
     CHECK_TRUE(gate.mayStart(QuarantineState::Free, 3, at(0s)));
     CHECK_FALSE(gate.mayStart(QuarantineState::Alone, 3, at(0s)));
     CHECK_FALSE(gate.mayStart(QuarantineState::Free, 3, at(1s)));
@@ -178,7 +178,7 @@
     gate.started(suspect, QuarantineState::Alone);
     CHECK_FALSE(gate.mayStart(QuarantineState::Free, 1, at(2s)));
     gate.ended(suspect);
-    gate.aloneWaits(at(2s));
+    gate.isolatedRequestQueued(at(2s));
     CHECK_TRUE(gate.mayStart(QuarantineState::Free, 0, at(2s)));
 }
 
--- a/packages/sidecar/src/SidecarCore.cpp
+++ b/packages/sidecar/src/SidecarCore.cpp
@@ -392,7 +392,7 @@
         if (!next) {
             // Everything queued was looked at.
             if (!m_suspectQueued)
-                m_solo.noneWaits();
+                m_solo.noIsolatedRequestQueued();
             return;
         }
         RequestEntry* entry = m_requests.find(EntryKey(next->id.value()));
@@ -411,7 +411,7 @@
     auto state = m_quarantine.state(routing::RequestFingerprint(entry->message.fingerprint), now);
     if (state == routing::QuarantineState::Alone) {
         m_suspectQueued = true;
-        m_solo.aloneWaits(now);
+        m_solo.isolatedRequestQueued(now);
     }
     return m_solo.mayStart(state, inFlight(), now);
 }
@@ -849,7 +849,7 @@
     auto dispatch = m_lastDispatch.find(gateway);
     report.lastDispatchSeen = dispatch == m_lastDispatch.end() ? 0 : dispatch->second;
     report.leaving = m_leaving;
-    report.quarantining = m_solo.busy();
+    report.quarantining = m_solo.isolatedRequestRunning();
     report.configuration = m_configuration->version;
     for (const routing::AccountBacklog& backlog : figures.backlog)
         report.queues.push_back({ backlog.account, backlog.weight, backlog.queued, backlog.servedPerSecond });
--- a/packages/sidecar/src/SidecarCore.h
+++ b/packages/sidecar/src/SidecarCore.h
@@ -95,7 +95,7 @@
     std::unique_ptr<routing::RequestQueue> m_queue;
     std::unique_ptr<placement::ResidencyManager> m_residency;
     routing::Quarantine m_quarantine { {} };
-    routing::SoloGate m_solo;
+    routing::IsolationGate m_solo;
     absl::flat_hash_map<EntryKey, std::shared_ptr<Generation>> m_generations;
     absl::flat_hash_map<base::InstanceId, int64_t> m_lastDispatch;
     std::map<base::ModelId, base::Epoch> m_rows;
