--- a/packages/routing/include/toucanstep/routing/Quarantine.h
+++ b/packages/routing/include/toucanstep/routing/Quarantine.h
@@ -34,9 +34,9 @@
 };
 
 enum class QuarantineState {
-    Free,
+    Unrestricted,
     // Must run with nothing else in flight on its upstream.
-    Alone,
+    Isolated,
     Refused,
 };
 
--- a/packages/routing/src/Quarantine.cpp
+++ b/packages/routing/src/Quarantine.cpp
@@ -74,11 +74,11 @@
 {
     auto entry = m_byFingerprint.find(fingerprint);
     if (entry == m_byFingerprint.end())
-        return QuarantineState::Free;
+        return QuarantineState::Unrestricted;
     auto living = std::count_if(entry->second.begin(), entry->second.end(), [&](const auto& crash) { return crash.second > now; });
     if (living >= strikesThatRefuse)
         return QuarantineState::Refused;
-    return living > 0 ? QuarantineState::Alone : QuarantineState::Free;
+    return living > 0 ? QuarantineState::Isolated : QuarantineState::Unrestricted;
 }
 
 std::optional<base::Refusal> Quarantine::refusal(const RequestFingerprint& fingerprint, base::Instant now) const
@@ -118,14 +118,14 @@
 {
     if (state == QuarantineState::Refused || m_alone)
         return false;
-    if (state == QuarantineState::Alone)
+    if (state == QuarantineState::Isolated)
         return inFlight == 0;
     return !m_waitingSince || now - *m_waitingSince < m_patience;
 }
 
 void IsolationGate::started(const base::RequestId& request, QuarantineState state)
 {
-    if (state != QuarantineState::Alone)
+    if (state != QuarantineState::Isolated)
         return;
     m_alone = request;
     m_waitingSince.reset();
--- a/packages/routing/test/QuarantineTest.cpp
+++ b/packages/routing/test/QuarantineTest.cpp
@@ -171,15 +171,15 @@
     IsolationGate gate(1s);
     base::RequestId suspect("s");
     gate.isolatedRequestQueued(at(0s));
-    CHECK_TRUE(gate.mayStart(QuarantineState::Free, 3, at(0s)));
-    CHECK_FALSE(gate.mayStart(QuarantineState::Alone, 3, at(0s)));
-    CHECK_FALSE(gate.mayStart(QuarantineState::Free, 3, at(1s)));
-    CHECK_TRUE(gate.mayStart(QuarantineState::Alone, 0, at(1s)));
-    gate.started(suspect, QuarantineState::Alone);
-    CHECK_FALSE(gate.mayStart(QuarantineState::Free, 1, at(2s)));
+    CHECK_TRUE(gate.mayStart(QuarantineState::Unrestricted, 3, at(0s)));
+    CHECK_FALSE(gate.mayStart(QuarantineState::Isolated, 3, at(0s)));
+    CHECK_FALSE(gate.mayStart(QuarantineState::Unrestricted, 3, at(1s)));
+    CHECK_TRUE(gate.mayStart(QuarantineState::Isolated, 0, at(1s)));
+    gate.started(suspect, QuarantineState::Isolated);
+    CHECK_FALSE(gate.mayStart(QuarantineState::Unrestricted, 1, at(2s)));
     gate.ended(suspect);
     gate.isolatedRequestQueued(at(2s));
-    CHECK_TRUE(gate.mayStart(QuarantineState::Free, 0, at(2s)));
+    CHECK_TRUE(gate.mayStart(QuarantineState::Unrestricted, 0, at(2s)));
 }
 
 TEST(Quarantine, StrikesEndAndTheRefusalSaysWhen)
@@ -191,8 +191,8 @@
     CHECK_TRUE(refusal->code == base::RefusalCode::RequestQuarantined);
     CHECK_TRUE(refusal->ran == base::RanState::NotRun);
     CHECK_TRUE(*refusal->retryAt == at(10min));
-    CHECK_TRUE(quarantine.state(culprit, at(10min)) == QuarantineState::Alone);
-    CHECK_TRUE(quarantine.state(culprit, at(11min)) == QuarantineState::Free);
+    CHECK_TRUE(quarantine.state(culprit, at(10min)) == QuarantineState::Isolated);
+    CHECK_TRUE(quarantine.state(culprit, at(11min)) == QuarantineState::Unrestricted);
     quarantine.expire(at(11min));
     CHECK_EQUAL(0, quarantine.size());
 }
--- a/packages/sidecar/src/SidecarCore.cpp
+++ b/packages/sidecar/src/SidecarCore.cpp
@@ -409,7 +409,7 @@
     if (!queued.model.empty() && !m_residency->usable(queued.model))
         return false;
     auto state = m_quarantine.state(routing::RequestFingerprint(entry->message.fingerprint), now);
-    if (state == routing::QuarantineState::Alone) {
+    if (state == routing::QuarantineState::Isolated) {
         m_suspectQueued = true;
         m_solo.isolatedRequestQueued(now);
     }
--- a/samples/routing_sample.cpp
+++ b/samples/routing_sample.cpp
@@ -73,7 +73,7 @@
     Quarantine quarantine({});
     auto fingerprint = fingerprintOf(base::ClientAccountId("farm"), "{\"prompt\":\"...\"}");
     quarantine.onCrash(CrashId("north/1"), { fingerprint }, now);
-    auto isAlone = quarantine.state(fingerprint, now) == QuarantineState::Alone;
+    auto isAlone = quarantine.state(fingerprint, now) == QuarantineState::Isolated;
     quarantine.onCrash(CrashId("south/1"), { fingerprint }, now);
     auto refusal = quarantine.refusal(fingerprint, now);
     std::cout << "refused=" << base::refusalCodeName(refusal->code) << " ran=" << base::ranStateName(refusal->ran) << "\n";
