--- a/bench/routing_replay.cpp
+++ b/bench/routing_replay.cpp
@@ -250,7 +250,7 @@
     }
 
     Scenario m_scenario;
-    Generator m_generator;
+    RandomGenerator m_generator;
     std::unique_ptr<Router> m_router;
     std::vector<UpstreamTable> m_tables;
     std::vector<Sidecar> m_sidecars;
--- a/packages/cli/src/Explanation.cpp
+++ b/packages/cli/src/Explanation.cpp
@@ -212,7 +212,7 @@
         request.deadline = m_deadline;
         request.cost = cost();
         request.configurationVersion = m_configuration.version;
-        routing::Generator generator(1);
+        routing::RandomGenerator generator(1);
         routing::RouteDecision decision = routing::makeExpectedWaitRouter({})->choose(request, holders, upstreams, routing::PrefixIndex(1, std::chrono::minutes(1)), generator);
         m_output << "routing: " << (decision.chosen ? decision.chosen->value() : std::string("none")) << ", reason " << routing::routeReasonName(decision.reason)
                  << ", expected wait " << milliseconds(decision.expectedWait) << ", candidates " << routing::describeCandidates(decision) << "\n";
--- a/packages/gateway/src/GatewayCore.h
+++ b/packages/gateway/src/GatewayCore.h
@@ -124,7 +124,7 @@
     routing::UpstreamTable m_upstreams;
     routing::PrefixIndex m_prefixes;
     routing::RetryBudget m_retries;
-    routing::Generator m_generator;
+    routing::RandomGenerator m_generator;
     absl::flat_hash_map<base::RequestId, std::unique_ptr<CallerEntry>> m_entries;
     // The last known phase of a model on an upstream, with the end of its load.
     struct ModelOnUpstream {
--- a/packages/routing/include/toucanstep/routing/Router.h
+++ b/packages/routing/include/toucanstep/routing/Router.h
@@ -17,7 +17,7 @@
 
 namespace toucanstep::routing {
 
-using Generator = std::mt19937_64;
+using RandomGenerator = std::mt19937_64;
 
 enum class HolderState {
     // Holds the row, the model is not loaded: the first request makes the load.
@@ -115,7 +115,7 @@
 class Router {
 public:
     virtual ~Router() = default;
-    virtual RouteDecision choose(const RouteRequest&, const std::vector<Holder>&, const UpstreamTable&, const PrefixIndex&, Generator&) const = 0;
+    virtual RouteDecision choose(const RouteRequest&, const std::vector<Holder>&, const UpstreamTable&, const PrefixIndex&, RandomGenerator&) const = 0;
 };
 
 std::unique_ptr<Router> makeExpectedWaitRouter(RouterSettings);
--- a/packages/routing/src/Router.cpp
+++ b/packages/routing/src/Router.cpp
@@ -59,7 +59,7 @@
     {
     }
 
-    RouteDecision run(const std::vector<Holder>& holders, const PrefixIndex& prefixes, Generator& generator)
+    RouteDecision run(const std::vector<Holder>& holders, const PrefixIndex& prefixes, RandomGenerator& generator)
     {
         for (const auto& holder : holders)
             judge(holder);
@@ -105,7 +105,7 @@
         return entry.report.quarantining ? CandidateVerdict::Quarantining : CandidateVerdict::Eligible;
     }
 
-    bool chooseAmong(CandidateVerdict verdict, const PrefixIndex& prefixes, Generator& generator)
+    bool chooseAmong(CandidateVerdict verdict, const PrefixIndex& prefixes, RandomGenerator& generator)
     {
         std::vector<const RouteCandidate*> members;
         for (const auto& candidate : m_decision.candidates)
@@ -131,7 +131,7 @@
         return members == 1 ? RouteReason::OnlyHolder : RouteReason::LeastWait;
     }
 
-    const RouteCandidate& leastWait(const std::vector<const RouteCandidate*>& members, Generator& generator) const
+    const RouteCandidate& leastWait(const std::vector<const RouteCandidate*>& members, RandomGenerator& generator) const
     {
         auto least = (*std::min_element(members.begin(), members.end(), [](auto left, auto right) { return left->expectedWait < right->expectedWait; }))
                          ->expectedWait;
@@ -201,7 +201,7 @@
     }
 
     RouteDecision choose(const RouteRequest& request, const std::vector<Holder>& holders, const UpstreamTable& upstreams, const PrefixIndex& prefixes,
-        Generator& generator) const override
+        RandomGenerator& generator) const override
     {
         return ExpectedWaitChoice(m_settings, request, upstreams).run(holders, prefixes, generator);
     }
@@ -213,7 +213,7 @@
 class RandomRouter final : public Router {
 public:
     RouteDecision choose(const RouteRequest& request, const std::vector<Holder>& holders, const UpstreamTable& upstreams, const PrefixIndex&,
-        Generator& generator) const override
+        RandomGenerator& generator) const override
     {
         auto decision = startDecision(request);
         std::vector<size_t> usable;
--- a/packages/routing/test/RouterTest.cpp
+++ b/packages/routing/test/RouterTest.cpp
@@ -14,7 +14,7 @@
     const base::UpstreamId second { "u2" };
     UpstreamTable table;
     PrefixIndex prefixes { 100, 10min };
-    Generator generator { 1 };
+    RandomGenerator generator { 1 };
     std::unique_ptr<Router> router = makeExpectedWaitRouter({});
 
     void connect(const base::UpstreamId& upstream, int64_t inFlight, int64_t tokens)
@@ -190,7 +190,7 @@
             holders.push_back({ id, base::Epoch(1), state, end });
         }
         auto request = requestAt(at(5s), std::chrono::seconds(*rc::gen::inRange(0, 15)));
-        Generator random { 7 };
+        RandomGenerator random { 7 };
         auto decision = makeExpectedWaitRouter({})->choose(request, holders, upstreams, PrefixIndex(10, 1min), random);
         RC_ASSERT(decision.chosen.has_value() != decision.refusal.has_value());
         RC_ASSERT(decision.candidates.size() == holders.size());
--- a/samples/routing_sample.cpp
+++ b/samples/routing_sample.cpp
@@ -40,7 +40,7 @@
     request.cost = base::Tokens(500);
     std::vector<Holder> holders { { north, base::Epoch(3), HolderState::Loaded, {} }, { south, base::Epoch(5), HolderState::Loaded, {} } };
 
-    Generator generator(1);
+    RandomGenerator generator(1);
     auto decision = makeExpectedWaitRouter({})->choose(request, holders, upstreams, PrefixIndex(1000, 10min), generator);
     std::cout << "chosen=" << decision.chosen->value() << " reason=" << routeReasonName(decision.reason) << " candidates=" << describeCandidates(decision) << "\n";
     return decision.chosen == south;
