--- a/packages/routing/include/toucanstep/routing/Admission.h
+++ b/packages/routing/include/toucanstep/routing/Admission.h
@@ -1,4 +1,4 @@
-// The sidecar's check of a request against its deadline, from the exact figures of its own upstream.
+// Admission check of a sidecar: whether a request can meet its deadline, given the exact load of its own upstream.
 
 #pragma once
 
@@ -12,14 +12,14 @@
 struct AdmissionRequest {
     NewRequest request;
     base::Instant deadline;
-    base::Duration shortestRun {};
-    // Set while the model is not loaded and the end of its load is known.
+    base::Duration minimumRunTime {};
+    // When the model is expected to be loaded; set only while it is not loaded and this time is known.
     std::optional<base::Instant> expectedLoadEnd;
 };
 
 struct AdmissionVerdict {
     base::Duration expectedWait {};
-    // DeadlineUnreachable with the time from which asking again may succeed; NotRun.
+    // Set if the deadline cannot be met: DeadlineUnreachable, NotRun, with the time after which a retry may succeed.
     std::optional<base::Refusal> refusal;
 };
 
--- a/packages/routing/include/toucanstep/routing/ExpectedWait.h
+++ b/packages/routing/include/toucanstep/routing/ExpectedWait.h
@@ -1,6 +1,6 @@
-// How long a new request would wait for a slot of an upstream.
+// Estimates how long a new request would wait for a slot of an upstream.
 //
-// Gateways and sidecars use the same calculation, so that a gateway does not send what the sidecar would refuse.
+// Gateways and sidecars use the same calculation, so that a gateway does not send requests that the sidecar would refuse.
 
 #pragma once
 
@@ -11,24 +11,24 @@
 
 namespace toucanstep::routing {
 
-// What one client account has queued at an upstream, and what it has lately been served there.
+// Tokens that one client account has queued at an upstream, and its recent service rate there.
 struct AccountBacklog {
     base::ClientAccountId account;
     int64_t weight = 1;
     base::Tokens queued;
-    // Tokens a second over about the last ten seconds: it is expected to ask for as much in the next ones.
+    // Average over about the last ten seconds. The account is expected to continue requesting tokens at this rate.
     base::Tokens servedPerSecond;
 };
 
-// Exact figures of a sidecar about its own upstream.
+// The load of an upstream as measured by its own sidecar.
 struct UpstreamLoad {
     int64_t slots = 1;
-    // Expected speed of one stream, in tokens a second.
+    // Expected throughput of one stream.
     int64_t tokensPerSecond = 50;
     int64_t inFlight = 0;
-    // Tokens that the requests in flight are still expected to take.
+    // Expected remaining tokens of the requests in flight.
     base::Tokens inFlightTokens;
-    // Only accounts that have something queued or were served lately.
+    // Only accounts with queued requests or recent service.
     std::vector<AccountBacklog> backlog;
 };
 
@@ -39,12 +39,13 @@
     base::Tokens cost;
 };
 
-// Tokens that a fair queue serves before a new request that waits for `wait`: those of its own account, and of every other
-// account what it has queued, but at most as much as its own and the request, scaled by the weights. So another's long queue
-// is not waited for. An account that was lately served more than its fair part also waits for what the others go on to ask for.
+// Tokens that a fair queue serves before a new request that waits for `wait`. These are all queued tokens of its own account
+// and, of each other account, its queued tokens up to its fair share: the own queued tokens plus the request's cost, scaled by
+// the ratio of the weights. So a request does not wait for the whole of another account's long queue. If its account was
+// recently served more than its fair share, the tokens that the others are expected to request during `wait` count too.
 base::Tokens tokensAhead(const std::vector<AccountBacklog>&, const NewRequest&, base::Duration wait);
 
-// Zero while a slot is free: what is queued then waits for something else, for example for a model's load.
+// Zero while a slot is free: requests that are queued then wait for something else, for example for a model to load.
 base::Duration expectedWait(const UpstreamLoad&, const NewRequest&);
 
 } // namespace toucanstep::routing
--- a/packages/routing/include/toucanstep/routing/Ids.h
+++ b/packages/routing/include/toucanstep/routing/Ids.h
@@ -1,4 +1,4 @@
-// Identifiers that routing shares with the queue and the quarantine.
+// Identifiers shared by the router, the request queue and the quarantine.
 
 #pragma once
 
@@ -9,17 +9,17 @@
 
 namespace toucanstep::routing {
 
-// SHA-256 over the client account and the body of a request: the same call sent again has the same one.
+// SHA-256 over the client account and the body of a request; equal for repeated sends of the same call.
 using RequestFingerprint = base::StrongId<struct RequestFingerprintTag>;
 RequestFingerprint fingerprintOf(const base::ClientAccountId&, std::string_view body);
 
-// A hash over the first N blocks of a prompt; two prompts share it if they share these blocks.
+// Hash over the model and the first N blocks of a prompt; prompts for one model with the same first N blocks share it.
 using PrefixFingerprint = base::StrongNumber<struct PrefixFingerprintTag>;
 
 constexpr size_t prefixBlockBytes = 256;
 constexpr size_t maximumPrefixBlocks = 32;
 
-// One fingerprint for each whole block of the prompt, shortest prefix first, at most maximumPrefixBlocks.
+// The fingerprints of the prompt's prefixes that end at a whole block, shortest first, at most maximumPrefixBlocks.
 std::vector<PrefixFingerprint> prefixesOf(const base::ModelId&, std::string_view prompt);
 
 } // namespace toucanstep::routing
--- a/packages/routing/include/toucanstep/routing/PrefixIndex.h
+++ b/packages/routing/include/toucanstep/routing/PrefixIndex.h
@@ -1,7 +1,7 @@
-// Where prefixes of prompts are probably still in an engine's cache.
+// Index of the upstreams whose engine probably still has a prompt prefix in its cache.
 //
-// Fed by the engines' cache events, which come late and with gaps, and by this gateway's own routing. An entry is a hint:
-// a wrong one costs a cache miss and nothing else. The table is bounded; the least recently confirmed entry goes first.
+// It is updated by the engines' cache events, which may be late or lost, and by this gateway's own routing decisions. Entries
+// are hints: a wrong one only costs a cache miss. The index is bounded and evicts the least recently confirmed entry first.
 
 #pragma once
 
@@ -16,7 +16,7 @@
 
 struct PrefixHint {
     base::UpstreamId upstream;
-    // Length of the longest known prefix, in blocks.
+    // Length of the longest matching prefix.
     int64_t blocks = 0;
 };
 
@@ -24,14 +24,14 @@
 public:
     PrefixIndex(size_t capacity, base::Duration lifetime);
 
-    // The engine stored the prefix, or a request with it was sent there.
+    // The engine cached the prefix, or a request with this prefix was sent to it.
     void stored(const base::UpstreamId&, PrefixFingerprint, base::Instant now);
     void evicted(const base::UpstreamId&, PrefixFingerprint);
-    // Events of that upstream were lost, or it started again: nothing known about it holds.
+    // Drops all entries of an upstream, because events of it were lost or it restarted.
     void forget(const base::UpstreamId&);
-    // For each upstream with a living hint the longest match, longest first, ties by id.
+    // The longest match for each upstream with an unexpired entry, longest first, ties by upstream id.
     std::vector<PrefixHint> match(const std::vector<PrefixFingerprint>& prefixes, base::Instant now) const;
-    size_t size() const { return m_order.size(); }
+    size_t size() const { return m_entries.size(); }
 
 private:
     struct Key {
@@ -42,13 +42,13 @@
         Key key;
         base::Instant confirmedAt;
     };
-    using Order = std::list<Entry>;
-    void remove(Order::iterator);
+    using Entries = std::list<Entry>;
+    void remove(Entries::iterator);
 
     size_t m_capacity;
     base::Duration m_lifetime;
-    Order m_order;
-    absl::flat_hash_map<PrefixFingerprint, std::vector<Order::iterator>> m_byPrefix;
+    Entries m_entries;
+    absl::flat_hash_map<PrefixFingerprint, std::vector<Entries::iterator>> m_byPrefix;
 };
 
 } // namespace toucanstep::routing
--- a/packages/routing/include/toucanstep/routing/RequestQueue.h
+++ b/packages/routing/include/toucanstep/routing/RequestQueue.h
@@ -1,8 +1,9 @@
-// The sidecar's queue in front of its upstream.
+// The request queue of a sidecar in front of its upstream.
 //
-// makeFairQueue() shares the upstream by deficit round robin in tokens: over client accounts by their weight, and within
-// an account over its kinds of request by theirs, so an account gains nothing by using many kinds. makeFifoQueue() is the
-// baseline. Removing and expiring cost time linear in the queue; choosing is linear in accounts, kinds and skipped requests.
+// makeFairQueue() returns a hierarchical fair queue that shares the upstream by deficit round robin in tokens: between client
+// accounts by their weights, and within an account between its kinds of request by the kinds' weights, so an account gains
+// nothing by using many kinds. makeFifoQueue() is the baseline for comparisons. Removal and expiry take time linear in the
+// length of the queue; pop() is linear in the number of accounts, kinds and skipped requests.
 
 #pragma once
 
@@ -25,12 +26,12 @@
     base::KeyFingerprint key;
     base::ModelId model;
     int64_t accountWeight = 1;
-    // The kind's name tells flows of one account apart; its weight shares the account's part.
+    // Requests of one kind form one flow within the account; the weights of the kinds divide the account's share.
     std::string kind;
     int64_t kindWeight = 1;
-    // Prompt and most completion tokens.
+    // Prompt tokens plus the maximum of completion tokens.
     base::Tokens cost;
-    // Beyond this point starting is of no use.
+    // A request that starts later than this cannot meet its deadline.
     base::Instant latestStart;
 };
 
@@ -45,29 +46,29 @@
 class RequestQueue {
 public:
     virtual ~RequestQueue() = default;
-    // Refuses at once, with NotRun, a request whose latest start lies before now + expectedWait.
+    // Returns a refusal with NotRun, without queueing, if the latest start of the request is before now + expectedWait.
     virtual std::optional<base::Refusal> push(QueuedRequest, base::Duration expectedWait, base::Instant now) = 0;
-    // The next request to start; nothing if none is eligible. Requests past their latest start are never given.
+    // Removes and returns the next request to start, if any is eligible. Never returns a request past its latest start.
     virtual std::optional<QueuedRequest> pop(base::Instant now, const Eligible&) = 0;
-    // Takes out what can no longer start in time.
+    // Removes the requests that are past their latest start.
     virtual std::vector<RefusedRequest> takeExpired(base::Instant now) = 0;
-    // The caller left; its place is free at once. False if it is not queued.
+    // Removes a request whose caller is gone. Returns false if it is not queued.
     virtual bool cancel(const base::RequestId&) = 0;
-    // A withdrawn key's, or a removed account's requests, refused NotRun.
+    // Remove the requests of a withdrawn key or a removed account, with the refusal NotRun.
     virtual std::vector<RefusedRequest> removeKey(const base::KeyFingerprint&) = 0;
     virtual std::vector<RefusedRequest> removeAccount(const base::ClientAccountId&) = 0;
     virtual size_t size() const = 0;
-    // Accounts with queued requests, and those that were served lately, as of the last start.
+    // Accounts with queued requests or recent service. Service rates are as of the last pop().
     virtual std::vector<AccountBacklog> backlog() const = 0;
 };
 
 struct FairQueueSettings {
-    // Tokens that a flow of weight 1 gets in one round.
+    // Tokens added to a flow of weight 1 in each round.
     base::Tokens quantum { 256 };
 };
 
 std::unique_ptr<RequestQueue> makeFairQueue(FairQueueSettings);
-// Baseline: first in, first out among the eligible.
+// Baseline for comparisons: first in, first out among the eligible requests.
 std::unique_ptr<RequestQueue> makeFifoQueue();
 
 } // namespace toucanstep::routing
--- a/packages/routing/include/toucanstep/routing/RetryBudget.h
+++ b/packages/routing/include/toucanstep/routing/RetryBudget.h
@@ -1,6 +1,8 @@
-// Bounds the retries of idempotent requests to a share of the requests, so that failing upstreams see no storm.
+// Limits the retries of idempotent requests to a percentage of the requests, so that failing upstreams do not get a retry
+// storm.
 //
-// Each request earns a part of a retry; a retry spends a whole one. What is earned is capped by `reserve`.
+// Works like a token bucket: each request adds a fraction of a retry, each retry takes a whole one, and the balance is capped
+// at `reserve`.
 
 #pragma once
 
@@ -9,11 +11,11 @@
 namespace toucanstep::routing {
 
 struct RetryBudgetSettings {
-    // Retries earned by a hundred requests.
+    // Retries allowed per hundred requests.
     int64_t percent = 10;
-    // Retries that may be saved up, and that are there at the start.
+    // Maximum balance, which is also the initial one, in retries.
     int64_t reserve = 10;
-    // Attempts of one request after its first.
+    // Maximum attempts of one request after its first.
     int64_t perRequest = 2;
 };
 
@@ -21,13 +23,13 @@
 public:
     explicit RetryBudget(RetryBudgetSettings);
     void onRequest();
-    // `retriesSoFar` counts those of this request. A request that is not idempotent is never retried.
+    // `retriesSoFar` counts the retries of this request. A request that is not idempotent is never retried.
     bool tryRetry(bool idempotent, int64_t retriesSoFar);
 
 private:
     RetryBudgetSettings m_settings;
     // In hundredths of a retry.
-    int64_t m_saved;
+    int64_t m_balance;
 };
 
 } // namespace toucanstep::routing
--- a/packages/routing/include/toucanstep/routing/Router.h
+++ b/packages/routing/include/toucanstep/routing/Router.h
@@ -1,4 +1,4 @@
-// Chooses the upstream for one request among the holders of its model, or refuses it.
+// Chooses an upstream for a request from the holders of its model, or refuses the request.
 //
 //     auto decision = router.choose(request, holders, upstreams, generator);
 //     if (decision.refusal) ... else send to *decision.chosen under decision.epoch
@@ -20,18 +20,18 @@
 using RandomGenerator = std::mt19937_64;
 
 enum class HolderState {
-    // Holds the row, the model is not loaded: the first request makes the load.
+    // Assigned to the upstream but not loaded; the first request triggers the load.
     Cold,
     Loading,
     Loaded,
 };
 
-// An upstream that holds a replica's row, as last heard.
+// An upstream to which a replica of the model is assigned, in its last known state.
 struct Holder {
     base::UpstreamId upstream;
     base::Epoch epoch;
     HolderState state = HolderState::Cold;
-    // When the model can be used there; for a cold holder the end of a load that began now. Absent if not known.
+    // When the model will be loaded; for a cold holder, when a load started now would finish. Absent if unknown.
     std::optional<base::Instant> expectedLoadEnd;
 };
 
@@ -43,10 +43,11 @@
     base::Instant now;
     base::Instant deadline;
     base::Tokens cost;
-    // Time that the request needs after its wait to be of use; zero where only the first token counts.
-    base::Duration shortestRun {};
+    // Minimum time that the request needs after its wait to produce a useful result; zero if only the time to the first token
+    // matters.
+    base::Duration minimumRunTime {};
     std::vector<PrefixFingerprint> prefixes;
-    // Upstreams that were already tried.
+    // Upstreams that were already tried for this request.
     std::vector<base::UpstreamId> excluded;
     base::Revision configurationVersion;
 };
@@ -57,9 +58,9 @@
     Unknown,
     Disconnected,
     Leaving,
-    // No report for longer than the settings allow; used only when no fresh one is left.
+    // No report within RouterSettings::staleAfter; used only if no holder is Eligible or Quarantining.
     Stale,
-    // A suspected request runs alone there; used only when no other is left.
+    // Running a suspected request in isolation; used only if no holder is Eligible.
     Quarantining,
     TooLate,
 };
@@ -70,7 +71,7 @@
     PrefixAffinity,
     OnlyHolder,
     ColdHolder,
-    // No holder with a fresh report was left.
+    // No usable holder had a recent report.
     StaleHolder,
     Random,
     NoHolder,
@@ -95,21 +96,20 @@
     base::Duration expectedWait {};
     base::Revision configurationVersion;
     std::vector<RouteCandidate> candidates;
-    // Set if and only if nothing was chosen. Always proved NotRun: nothing was sent.
+    // Set if and only if no upstream was chosen. Always NotRun, since nothing was sent.
     std::optional<base::Refusal> refusal;
 };
 
-// The candidates in one value of a log line: `u1:eligible:12ms,u2:leaving:0ms`.
+// Formats the candidates as one value of a log line, for example `u1:eligible:12ms:epoch1,u2:leaving:0ms:epoch3`.
 std::string describeCandidates(const RouteDecision&);
 
 struct RouterSettings {
-    // A report older than this is stale.
     base::Duration staleAfter = std::chrono::seconds(2);
-    // An upstream is preferred for a prefix while its outstanding tokens are at most this percentage of the holders' mean,
-    // plus the request's own.
+    // An upstream is preferred for a cached prefix while its outstanding tokens are at most this percentage of the mean of the
+    // usable holders, plus the cost of the request.
     int64_t affinityLoadPercent = 125;
-    // Waits that differ by less than this count as equal, and the generator decides.
-    base::Duration equalWithin = std::chrono::milliseconds(1);
+    // Holders whose wait exceeds the shortest by at most this are considered equal; one of them is chosen at random.
+    base::Duration waitTolerance = std::chrono::milliseconds(1);
 };
 
 class Router {
@@ -119,7 +119,7 @@
 };
 
 std::unique_ptr<Router> makeExpectedWaitRouter(RouterSettings);
-// Baseline: any connected holder that is not leaving, evenly.
+// Baseline for comparisons: chooses uniformly among the connected holders that are not leaving.
 std::unique_ptr<Router> makeRandomRouter();
 
 } // namespace toucanstep::routing
--- a/packages/routing/src/ExpectedWait.cpp
+++ b/packages/routing/src/ExpectedWait.cpp
@@ -6,44 +6,45 @@
 
 namespace {
 
-constexpr double longestWaitSeconds = 24 * 3600.0;
-// The wait depends on what others ask for in its course: it is found by repetition, which grows towards it.
-constexpr int repetitions = 6;
+constexpr double maximumWaitSeconds = 24 * 3600.0;
+// The wait depends on the tokens that other accounts request while it lasts, so it is computed by fixed-point iteration,
+// starting from zero and never decreasing.
+constexpr int fixedPointIterations = 6;
 
-// An account that was lately served more than its fair part lives on speed that the others did not ask for.
-bool livesOnOthersSpeed(const std::vector<AccountBacklog>& backlog, const NewRequest& request)
+// Whether the account was recently served more than its fair share, using throughput that the others did not request.
+bool exceedsFairShare(const std::vector<AccountBacklog>& backlog, const NewRequest& request)
 {
-    int64_t weights = 0;
-    int64_t served = 0;
-    int64_t own = 0;
-    for (const auto& part : backlog) {
-        weights += part.weight;
-        served += part.servedPerSecond.value();
-        if (part.account == request.account)
-            own = part.servedPerSecond.value();
+    int64_t totalWeight = 0;
+    int64_t totalServed = 0;
+    int64_t ownServed = 0;
+    for (const auto& entry : backlog) {
+        totalWeight += entry.weight;
+        totalServed += entry.servedPerSecond.value();
+        if (entry.account == request.account)
+            ownServed = entry.servedPerSecond.value();
     }
-    return own * weights > served * request.accountWeight;
+    return ownServed * totalWeight > totalServed * request.accountWeight;
 }
 
 } // namespace
 
 base::Tokens tokensAhead(const std::vector<AccountBacklog>& backlog, const NewRequest& request, base::Duration wait)
 {
-    base::Tokens own;
-    for (const auto& part : backlog)
-        if (part.account == request.account)
-            own += part.queued;
-    const auto served = static_cast<double>((own + request.cost).value());
+    base::Tokens ownQueued;
+    for (const auto& entry : backlog)
+        if (entry.account == request.account)
+            ownQueued += entry.queued;
+    const auto ownDemand = static_cast<double>((ownQueued + request.cost).value());
     const auto weight = static_cast<double>(std::max<int64_t>(1, request.accountWeight));
-    auto ahead = own;
-    auto countsLater = livesOnOthersSpeed(backlog, request);
-    for (const auto& part : backlog) {
-        if (part.account == request.account)
+    auto ahead = ownQueued;
+    auto includeFutureDemand = exceedsFairShare(backlog, request);
+    for (const auto& entry : backlog) {
+        if (entry.account == request.account)
             continue;
-        auto fairPart = served * static_cast<double>(std::max<int64_t>(1, part.weight)) / weight;
-        auto later = countsLater ? static_cast<double>(part.servedPerSecond.value()) * base::toSeconds(wait) : 0;
-        auto asked = static_cast<double>(part.queued.value()) + later;
-        ahead += base::Tokens(static_cast<int64_t>(std::min(asked, fairPart)));
+        auto fairShare = ownDemand * static_cast<double>(std::max<int64_t>(1, entry.weight)) / weight;
+        auto futureDemand = includeFutureDemand ? static_cast<double>(entry.servedPerSecond.value()) * base::toSeconds(wait) : 0;
+        auto demand = static_cast<double>(entry.queued.value()) + futureDemand;
+        ahead += base::Tokens(static_cast<int64_t>(std::min(demand, fairShare)));
     }
     return ahead;
 }
@@ -53,13 +54,13 @@
     if (load.inFlight < load.slots)
         return base::Duration::zero();
     const auto slots = static_cast<double>(std::max<int64_t>(1, load.slots));
-    const auto speed = slots * static_cast<double>(std::max<int64_t>(1, load.tokensPerSecond));
-    // The first of `slots` running requests ends after a slots-th of their mean remaining time.
-    auto untilFirstEnd = static_cast<double>(load.inFlightTokens.value()) / slots / speed;
+    const auto throughput = slots * static_cast<double>(std::max<int64_t>(1, load.tokensPerSecond));
+    // The first of `slots` running requests is expected to complete after 1/slots of their mean remaining time.
+    auto firstCompletionSeconds = static_cast<double>(load.inFlightTokens.value()) / slots / throughput;
     base::Duration wait {};
-    for (int repetition = 0; repetition < repetitions; ++repetition) {
-        auto behindOthers = static_cast<double>(tokensAhead(load.backlog, request, wait).value()) / speed;
-        auto seconds = std::clamp(untilFirstEnd + behindOthers, 0.0, longestWaitSeconds);
+    for (int iteration = 0; iteration < fixedPointIterations; ++iteration) {
+        auto queueSeconds = static_cast<double>(tokensAhead(load.backlog, request, wait).value()) / throughput;
+        auto seconds = std::clamp(firstCompletionSeconds + queueSeconds, 0.0, maximumWaitSeconds);
         wait = std::chrono::duration_cast<base::Duration>(std::chrono::duration<double>(seconds));
     }
     return wait;
--- a/packages/routing/src/Ids.cpp
+++ b/packages/routing/src/Ids.cpp
@@ -9,14 +9,14 @@
 
 namespace {
 
-// FNV-1a: stable over processes, so that gateways and engines' events name a prefix alike.
-constexpr uint64_t hashStart = 14695981039346656037ULL;
-constexpr uint64_t hashPrime = 1099511628211ULL;
+// FNV-1a gives the same hash in every process, so that gateways and the engines' cache events use the same fingerprints.
+constexpr uint64_t fnvOffsetBasis = 14695981039346656037ULL;
+constexpr uint64_t fnvPrime = 1099511628211ULL;
 
-uint64_t hashOnwards(uint64_t state, std::string_view text)
+uint64_t updateHash(uint64_t state, std::string_view text)
 {
     for (unsigned char byte : text)
-        state = (state ^ byte) * hashPrime;
+        state = (state ^ byte) * fnvPrime;
     return state;
 }
 
@@ -24,17 +24,17 @@
 
 RequestFingerprint fingerprintOf(const base::ClientAccountId& account, std::string_view body)
 {
-    // The length in front keeps two different pairs from reading alike.
+    // The length prefix makes the encoding unambiguous: different pairs never give the same input.
     return RequestFingerprint(base::sha256Hex(base::concat(account.value().size(), ":", account, body)));
 }
 
 std::vector<PrefixFingerprint> prefixesOf(const base::ModelId& model, std::string_view prompt)
 {
     std::vector<PrefixFingerprint> prefixes;
-    auto state = hashOnwards(hashStart, model.value());
+    auto state = updateHash(fnvOffsetBasis, model.value());
     auto blocks = std::min(prompt.size() / prefixBlockBytes, maximumPrefixBlocks);
     for (size_t block = 0; block < blocks; ++block) {
-        state = hashOnwards(state, prompt.substr(block * prefixBlockBytes, prefixBlockBytes));
+        state = updateHash(state, prompt.substr(block * prefixBlockBytes, prefixBlockBytes));
         prefixes.emplace_back(static_cast<int64_t>(state));
     }
     return prefixes;
--- a/packages/routing/src/PrefixIndex.cpp
+++ b/packages/routing/src/PrefixIndex.cpp
@@ -11,23 +11,23 @@
 {
 }
 
-void PrefixIndex::remove(Order::iterator place)
+void PrefixIndex::remove(Entries::iterator entry)
 {
-    auto found = m_byPrefix.find(place->key.prefix);
-    auto& places = found->second;
-    places.erase(std::find(places.begin(), places.end(), place));
-    if (places.empty())
+    auto found = m_byPrefix.find(entry->key.prefix);
+    auto& entries = found->second;
+    entries.erase(std::find(entries.begin(), entries.end(), entry));
+    if (entries.empty())
         m_byPrefix.erase(found);
-    m_order.erase(place);
+    m_entries.erase(entry);
 }
 
 void PrefixIndex::stored(const base::UpstreamId& upstream, PrefixFingerprint prefix, base::Instant now)
 {
     evicted(upstream, prefix);
-    if (m_order.size() >= m_capacity)
-        remove(m_order.begin());
-    auto place = m_order.insert(m_order.end(), Entry { { prefix, upstream }, now });
-    m_byPrefix[prefix].push_back(place);
+    if (m_entries.size() >= m_capacity)
+        remove(m_entries.begin());
+    auto entry = m_entries.insert(m_entries.end(), Entry { { prefix, upstream }, now });
+    m_byPrefix[prefix].push_back(entry);
 }
 
 void PrefixIndex::evicted(const base::UpstreamId& upstream, PrefixFingerprint prefix)
@@ -35,16 +35,16 @@
     auto found = m_byPrefix.find(prefix);
     if (found == m_byPrefix.end())
         return;
-    const auto& places = found->second;
-    auto place = std::find_if(places.begin(), places.end(), [&](auto candidate) { return candidate->key.upstream == upstream; });
-    if (place != places.end())
-        remove(*place);
+    const auto& entries = found->second;
+    auto entry = std::find_if(entries.begin(), entries.end(), [&](auto candidate) { return candidate->key.upstream == upstream; });
+    if (entry != entries.end())
+        remove(*entry);
 }
 
 void PrefixIndex::forget(const base::UpstreamId& upstream)
 {
-    for (auto place = m_order.begin(); place != m_order.end();) {
-        auto current = place++;
+    for (auto next = m_entries.begin(); next != m_entries.end();) {
+        auto current = next++;
         if (current->key.upstream == upstream)
             remove(current);
     }
@@ -57,9 +57,9 @@
         auto found = m_byPrefix.find(prefixes[index]);
         if (found == m_byPrefix.end())
             continue;
-        for (auto place : found->second)
-            if (now < place->confirmedAt + m_lifetime)
-                longest[place->key.upstream] = static_cast<int64_t>(index) + 1;
+        for (auto entry : found->second)
+            if (now < entry->confirmedAt + m_lifetime)
+                longest[entry->key.upstream] = static_cast<int64_t>(index) + 1;
     }
     std::vector<PrefixHint> hints;
     for (const auto& [upstream, blocks] : longest)
--- a/packages/routing/src/RetryBudget.cpp
+++ b/packages/routing/src/RetryBudget.cpp
@@ -6,26 +6,26 @@
 
 namespace {
 
-constexpr int64_t wholeRetry = 100;
+constexpr int64_t unitsPerRetry = 100;
 
 } // namespace
 
 RetryBudget::RetryBudget(RetryBudgetSettings settings)
     : m_settings(settings)
-    , m_saved(settings.reserve * wholeRetry)
+    , m_balance(settings.reserve * unitsPerRetry)
 {
 }
 
 void RetryBudget::onRequest()
 {
-    m_saved = std::min(m_saved + m_settings.percent, m_settings.reserve * wholeRetry);
+    m_balance = std::min(m_balance + m_settings.percent, m_settings.reserve * unitsPerRetry);
 }
 
 bool RetryBudget::tryRetry(bool idempotent, int64_t retriesSoFar)
 {
-    if (!idempotent || retriesSoFar >= m_settings.perRequest || m_saved < wholeRetry)
+    if (!idempotent || retriesSoFar >= m_settings.perRequest || m_balance < unitsPerRetry)
         return false;
-    m_saved -= wholeRetry;
+    m_balance -= unitsPerRetry;
     return true;
 }
 
--- a/packages/routing/src/Router.cpp
+++ b/packages/routing/src/Router.cpp
@@ -20,7 +20,7 @@
     return std::find(upstreams.begin(), upstreams.end(), wanted) != upstreams.end();
 }
 
-// What rules a holder out whatever its load.
+// Checks the conditions that rule out a holder independently of its load.
 CandidateVerdict reachability(const RouteRequest& request, const Holder& holder, const UpstreamEntry* entry)
 {
     if (contains(request.excluded, holder.upstream))
@@ -42,7 +42,7 @@
     decision.reason = reason;
 }
 
-void refuseWithoutHolder(RouteDecision& decision)
+void refuseNoCapacity(RouteDecision& decision)
 {
     decision.reason = RouteReason::NoHolder;
     decision.refusal = base::Refusal { base::RefusalCode::NoCapacity, base::RanState::NotRun, "no holder of the model can be reached", std::nullopt };
@@ -62,8 +62,8 @@
     RouteDecision run(const std::vector<Holder>& holders, const PrefixIndex& prefixes, RandomGenerator& generator)
     {
         for (const auto& holder : holders)
-            judge(holder);
-        // Better classes first: a fresh report, then one that runs a suspect alone, then an old report.
+            evaluate(holder);
+        // In order of preference: a recent report, a recent report with a request in isolation, an outdated report.
         for (auto verdict : { CandidateVerdict::Eligible, CandidateVerdict::Quarantining, CandidateVerdict::Stale })
             if (chooseAmong(verdict, prefixes, generator))
                 return std::move(m_decision);
@@ -72,31 +72,31 @@
     }
 
 private:
-    void judge(const Holder& holder)
+    void evaluate(const Holder& holder)
     {
         const auto* entry = m_upstreams.find(holder.upstream);
         RouteCandidate candidate { holder.upstream, holder.epoch, holder.state, reachability(m_request, holder, entry), {} };
         if (candidate.verdict == CandidateVerdict::Eligible) {
-            candidate.expectedWait = waitAt(holder, *entry);
-            candidate.verdict = verdictByFigures(*entry, candidate.expectedWait);
+            candidate.expectedWait = expectedWaitAt(holder, *entry);
+            candidate.verdict = verdictByLoad(*entry, candidate.expectedWait);
         }
         m_decision.candidates.push_back(std::move(candidate));
     }
 
-    base::Duration waitAt(const Holder& holder, const UpstreamEntry& entry) const
+    base::Duration expectedWaitAt(const Holder& holder, const UpstreamEntry& entry) const
     {
         auto wait = expectedWait(UpstreamTable::currentLoad(entry), { m_request.account, m_request.accountWeight, m_request.cost });
         if (holder.state == HolderState::Loaded)
             return wait;
         if (holder.expectedLoadEnd)
             return std::max(wait, base::remaining(m_request.now, *holder.expectedLoadEnd));
-        // An unknown load time ranks behind all that is known to be in time, and is not a reason to refuse.
+        // An unknown load time ranks after every wait that is known to meet the deadline, and does not cause a refusal.
         return std::max(wait, slack());
     }
 
-    base::Duration slack() const { return base::remaining(m_request.now, m_request.deadline - m_request.shortestRun); }
+    base::Duration slack() const { return base::remaining(m_request.now, m_request.deadline - m_request.minimumRunTime); }
 
-    CandidateVerdict verdictByFigures(const UpstreamEntry& entry, base::Duration wait) const
+    CandidateVerdict verdictByLoad(const UpstreamEntry& entry, base::Duration wait) const
     {
         if (wait > slack())
             return CandidateVerdict::TooLate;
@@ -117,8 +117,8 @@
             choose(m_decision, *preferred, RouteReason::PrefixAffinity);
             return true;
         }
-        const auto& least = leastWait(members, generator);
-        choose(m_decision, least, reasonFor(least, members.size()));
+        const auto& shortest = shortestWaitMember(members, generator);
+        choose(m_decision, shortest, reasonFor(shortest, members.size()));
         return true;
     }
 
@@ -131,58 +131,59 @@
         return members == 1 ? RouteReason::OnlyHolder : RouteReason::LeastWait;
     }
 
-    const RouteCandidate& leastWait(const std::vector<const RouteCandidate*>& members, RandomGenerator& generator) const
+    const RouteCandidate& shortestWaitMember(const std::vector<const RouteCandidate*>& members, RandomGenerator& generator) const
     {
-        auto least = (*std::min_element(members.begin(), members.end(), [](auto left, auto right) { return left->expectedWait < right->expectedWait; }))
-                         ->expectedWait;
-        std::vector<const RouteCandidate*> equals;
+        auto shortest = (*std::min_element(members.begin(), members.end(), [](auto left, auto right) { return left->expectedWait < right->expectedWait; }))
+                            ->expectedWait;
+        std::vector<const RouteCandidate*> ties;
         for (const auto* member : members)
-            if (member->expectedWait <= least + m_settings.equalWithin)
-                equals.push_back(member);
-        std::uniform_int_distribution<size_t> pick(0, equals.size() - 1);
-        return *equals[pick(generator)];
+            if (member->expectedWait <= shortest + m_settings.waitTolerance)
+                ties.push_back(member);
+        std::uniform_int_distribution<size_t> pick(0, ties.size() - 1);
+        return *ties[pick(generator)];
     }
 
-    int64_t outstanding(const base::UpstreamId& upstream) const
+    int64_t outstandingTokens(const base::UpstreamId& upstream) const
     {
         auto load = UpstreamTable::currentLoad(*m_upstreams.find(upstream));
         auto tokens = load.inFlightTokens;
-        for (const auto& part : load.backlog)
-            tokens += part.queued;
+        for (const auto& entry : load.backlog)
+            tokens += entry.queued;
         return tokens.value();
     }
 
-    // The longest match whose upstream is not loaded beyond the bound; so a popular prefix cannot swamp one upstream.
+    // The loaded holder with the longest matching prefix whose outstanding tokens are within the limit. The limit keeps a popular
+    // prefix from overloading one upstream.
     const RouteCandidate* preferredByPrefix(const std::vector<const RouteCandidate*>& members, const PrefixIndex& prefixes) const
     {
         if (m_request.prefixes.empty() || members.size() < 2)
             return nullptr;
         int64_t total = 0;
         for (const auto* member : members)
-            total += outstanding(member->upstream);
+            total += outstandingTokens(member->upstream);
         auto mean = total / static_cast<int64_t>(members.size());
-        auto bound = mean * m_settings.affinityLoadPercent / 100 + m_request.cost.value();
+        auto limit = mean * m_settings.affinityLoadPercent / 100 + m_request.cost.value();
         for (const auto& hint : prefixes.match(m_request.prefixes, m_request.now))
             for (const auto* member : members)
-                if (member->upstream == hint.upstream && member->state == HolderState::Loaded && outstanding(member->upstream) <= bound)
+                if (member->upstream == hint.upstream && member->state == HolderState::Loaded && outstandingTokens(member->upstream) <= limit)
                     return member;
         return nullptr;
     }
 
     void refuse()
     {
-        std::optional<base::Duration> least;
+        std::optional<base::Duration> shortest;
         for (const auto& candidate : m_decision.candidates)
             if (candidate.verdict == CandidateVerdict::TooLate)
-                least = std::min(least.value_or(candidate.expectedWait), candidate.expectedWait);
-        if (!least) {
-            refuseWithoutHolder(m_decision);
+                shortest = std::min(shortest.value_or(candidate.expectedWait), candidate.expectedWait);
+        if (!shortest) {
+            refuseNoCapacity(m_decision);
             return;
         }
         m_decision.reason = RouteReason::DeadlineUnreachable;
-        m_decision.expectedWait = *least;
-        // The same patience, counted from this point on, is expected to be enough.
-        auto retryAt = m_request.now + (*least - slack());
+        m_decision.expectedWait = *shortest;
+        // A retry at this time with the same timeout is expected to meet its deadline.
+        auto retryAt = m_request.now + (*shortest - slack());
         m_decision.refusal
             = base::Refusal { base::RefusalCode::DeadlineUnreachable, base::RanState::NotRun, "no holder of the model can answer in time", retryAt };
     }
@@ -224,7 +225,7 @@
             decision.candidates.push_back({ holder.upstream, holder.epoch, holder.state, verdict, {} });
         }
         if (usable.empty()) {
-            refuseWithoutHolder(decision);
+            refuseNoCapacity(decision);
             return decision;
         }
         std::uniform_int_distribution<size_t> pick(0, usable.size() - 1);
--- a/packages/routing/src/UpstreamTable.cpp
+++ b/packages/routing/src/UpstreamTable.cpp
@@ -10,11 +10,11 @@
 
 void addToBacklog(std::vector<AccountBacklog>& backlog, const NewRequest& request)
 {
-    auto place = std::find_if(backlog.begin(), backlog.end(), [&](const auto& part) { return part.account == request.account; });
-    if (place == backlog.end())
+    auto found = std::find_if(backlog.begin(), backlog.end(), [&](const auto& entry) { return entry.account == request.account; });
+    if (found == backlog.end())
         backlog.push_back({ request.account, request.accountWeight, request.cost, base::Tokens() });
     else
-        place->queued += request.cost;
+        found->queued += request.cost;
 }
 
 } // namespace
@@ -51,9 +51,9 @@
 
 void UpstreamTable::ended(const base::UpstreamId& upstream, DispatchNumber number)
 {
-    auto place = m_entries.find(upstream);
-    if (place != m_entries.end())
-        place->second.unreported.erase(number);
+    auto found = m_entries.find(upstream);
+    if (found != m_entries.end())
+        found->second.unreported.erase(number);
 }
 
 void UpstreamTable::erase(const base::UpstreamId& upstream)
@@ -63,8 +63,8 @@
 
 const UpstreamEntry* UpstreamTable::find(const base::UpstreamId& upstream) const
 {
-    auto place = m_entries.find(upstream);
-    return place == m_entries.end() ? nullptr : &place->second;
+    auto found = m_entries.find(upstream);
+    return found == m_entries.end() ? nullptr : &found->second;
 }
 
 UpstreamLoad UpstreamTable::currentLoad(const UpstreamEntry& entry)
--- a/packages/routing/test/Fixtures.h
+++ b/packages/routing/test/Fixtures.h
@@ -1,4 +1,4 @@
-// Short ways to make the values that the tests of this package need.
+// Factory functions for the values that the tests of this package use.
 
 #pragma once
 
@@ -11,7 +11,7 @@
 
 inline base::Instant at(base::Duration sinceStart) { return base::Instant(std::chrono::hours(1)) + sinceStart; }
 
-inline UpstreamReport reportOf(int64_t sequence, int64_t inFlight, int64_t inFlightTokens)
+inline UpstreamReport makeReport(int64_t sequence, int64_t inFlight, int64_t inFlightTokens)
 {
     UpstreamReport report;
     report.incarnation = 1;
@@ -20,12 +20,12 @@
     return report;
 }
 
-inline Holder loadedHolder(const char* upstream, int64_t epoch = 1)
+inline Holder makeLoadedHolder(const char* upstream, int64_t epoch = 1)
 {
     return { base::UpstreamId(upstream), base::Epoch(epoch), HolderState::Loaded, std::nullopt };
 }
 
-inline RouteRequest requestAt(base::Instant now, base::Duration timeout)
+inline RouteRequest makeRouteRequest(base::Instant now, base::Duration timeout)
 {
     RouteRequest request;
     request.id = base::RequestId("r");
--- a/packages/routing/test/QuarantineTest.cpp
+++ b/packages/routing/test/QuarantineTest.cpp
@@ -12,20 +12,20 @@
 
 namespace {
 
-const RequestFingerprint culprit("culprit");
+const RequestFingerprint crashingRequest("crashing");
 
-// Sidecars, each with an upstream and its own strike set; strikes reach the others after a delay. Gateways hold no state
-// of their own here: a gateway that has heard a strike only refuses earlier than the sidecar would.
-class Fleet {
+// Simulated sidecars, each with an upstream and its own strike set; strikes reach the other sidecars after a delay. Gateways are
+// not simulated, since a gateway that has received a strike only refuses earlier than the sidecar would.
+class SimulatedFleet {
 public:
-    Fleet(int upstreams, base::Duration delay)
+    SimulatedFleet(int upstreams, base::Duration delay)
         : m_delay(delay)
     {
         for (int index = 0; index < upstreams; ++index)
             m_upstreams.emplace_back();
     }
 
-    // True if it is now in flight there.
+    // Returns whether the request was started.
     bool send(size_t where, const RequestFingerprint& fingerprint, base::Instant now)
     {
         auto& upstream = m_upstreams[where];
@@ -38,7 +38,7 @@
         return true;
     }
 
-    // The upstream meets what is in flight: it crashes if the culprit is among it, and answers all otherwise.
+    // Completes the requests in flight: the upstream crashes if crashingRequest is among them, and answers all otherwise.
     void run(size_t where, base::Instant now)
     {
         auto& upstream = m_upstreams[where];
@@ -47,7 +47,7 @@
         for (const auto& [id, fingerprint] : upstream.inFlight) {
             upstream.gate.ended(id);
             inFlight.push_back(fingerprint);
-            crashes = crashes || fingerprint == culprit;
+            crashes = crashes || fingerprint == crashingRequest;
         }
         upstream.inFlight.clear();
         if (!crashes) {
@@ -56,20 +56,20 @@
         }
         ++crashCount;
         auto messages = upstream.quarantine.onCrash(CrashId(base::concat(where, "/", ++upstream.crashes)), inFlight, now);
-        if (shares)
+        if (sharesStrikes)
             m_messages.push_back({ now + m_delay, messages });
     }
 
     void deliver(base::Instant now)
     {
         for (auto& message : m_messages)
-            if (message.arrives <= now)
+            if (message.arrivesAt <= now)
                 for (auto& upstream : m_upstreams)
                     upstream.quarantine.merge(message.strikes, now);
-        std::erase_if(m_messages, [&](const auto& message) { return message.arrives <= now; });
+        std::erase_if(m_messages, [&](const auto& message) { return message.arrivesAt <= now; });
     }
 
-    bool shares = true;
+    bool sharesStrikes = true;
     int crashCount = 0;
     size_t answered = 0;
 
@@ -81,7 +81,7 @@
         int crashes = 0;
     };
     struct Message {
-        base::Instant arrives;
+        base::Instant arrivesAt;
         std::vector<StrikeMessage> strikes;
     };
     base::Duration m_delay;
@@ -90,20 +90,21 @@
     int64_t m_lastRequest = 0;
 };
 
-// A caller that sends the same body again after each failure, to upstreams at random, for up to five minutes.
-int crashesOfRepeatedSending(bool shares, base::Duration delay, int upstreams)
+// The number of crashes if a caller sends the same body to a random upstream every second, up to 99 times, each time together
+// with up to two other requests.
+int crashesOfRepeatedSending(bool sharesStrikes, base::Duration delay, int upstreams)
 {
-    Fleet fleet(upstreams, delay);
-    fleet.shares = shares;
+    SimulatedFleet fleet(upstreams, delay);
+    fleet.sharesStrikes = sharesStrikes;
     auto steps = *rc::gen::inRange(1, 100);
     for (int step = 0; step < steps; ++step) {
         auto now = at(std::chrono::seconds(step));
         fleet.deliver(now);
         auto where = static_cast<size_t>(*rc::gen::inRange(0, upstreams));
-        auto neighbours = *rc::gen::inRange(0, 3);
-        for (int neighbour = 0; neighbour < neighbours; ++neighbour)
-            fleet.send(where, RequestFingerprint(base::concat("innocent", step, "/", neighbour)), now);
-        fleet.send(where, culprit, now);
+        auto otherRequests = *rc::gen::inRange(0, 3);
+        for (int other = 0; other < otherRequests; ++other)
+            fleet.send(where, RequestFingerprint(base::concat("harmless", step, "/", other)), now);
+        fleet.send(where, crashingRequest, now);
         fleet.run(where, now);
     }
     return fleet.crashCount;
@@ -115,59 +116,59 @@
 
 TEST(Quarantine, TheSameBodySentAgainCrashesAtMostTwoUpstreams)
 {
-    // A prompt crashes the engine. Its caller's client sends it again after every failure, each time through another
-    // gateway, and all engines of the pool go down one after the other; everyone's answers are cut.
+    // A prompt crashes the engine, and its client retries it after every failure through another gateway. Without the quarantine
+    // all engines of the pool crash one after the other, and the responses of all callers are cut off.
     CHECK_PROPERTY([] { RC_ASSERT(crashesOfRepeatedSending(true, 0s, 5) <= 2); });
 }
 
-TEST(Quarantine, TheCheckFailsWhenStrikesAreNotShared)
+TEST(Quarantine, WithoutSharedStrikesMoreThanTwoCrashesOccur)
 {
     CHECK_FALSE(testing::counterexample({}, [] { RC_ASSERT(crashesOfRepeatedSending(false, 0s, 5) <= 2); }).empty());
 }
 
 TEST(Quarantine, EachUpstreamCrashesAtMostTwiceEvenIfNoMessageArrives)
 {
-    // With the messages late by any time, a sidecar still knows its own crashes: two for each upstream that was reached.
+    // However late the messages are, a sidecar knows the crashes of its own upstream and refuses the request after the second.
     CHECK_PROPERTY([] {
         auto delay = std::chrono::seconds(*rc::gen::inRange(0, 200));
         RC_ASSERT(crashesOfRepeatedSending(true, delay, 3) <= 2 * 3);
     });
 }
 
-TEST(Quarantine, BesidesTwoOnlyWhatWasSentBeforeTheNewsCrashes)
+TEST(Quarantine, CrashesBeyondTwoAreLimitedByThePropagationDelay)
 {
-    // Sent one after the other, a crash beyond the second needs an upstream that has not yet heard of both. With a delay
-    // of d steps these are at most the d sendings that follow each of the two crashes.
+    // Since the requests are sent one after the other, a crash beyond the second needs a sidecar that has not yet received both
+    // strikes. With a delay of d steps, at most d requests are sent between the second crash and the arrival of its strike.
     CHECK_PROPERTY([] {
         auto delay = *rc::gen::inRange(0, 4);
         RC_ASSERT(crashesOfRepeatedSending(true, std::chrono::seconds(delay), 20) <= 2 + delay);
     });
 }
 
-TEST(Quarantine, AnInnocentNeighbourRunsAloneAndIsAnswered)
+TEST(Quarantine, AHarmlessRequestWithAStrikeRunsInIsolationAndIsAnswered)
 {
-    Fleet fleet(2, 0s);
-    RequestFingerprint innocent("innocent");
-    CHECK_TRUE(fleet.send(0, innocent, at(0s)));
-    CHECK_TRUE(fleet.send(0, culprit, at(0s)));
+    SimulatedFleet fleet(2, 0s);
+    RequestFingerprint harmless("harmless");
+    CHECK_TRUE(fleet.send(0, harmless, at(0s)));
+    CHECK_TRUE(fleet.send(0, crashingRequest, at(0s)));
     fleet.run(0, at(0s));
     fleet.deliver(at(0s));
-    CHECK_TRUE(fleet.send(1, innocent, at(1s)));
-    CHECK_FALSE(fleet.send(1, culprit, at(1s)));
+    CHECK_TRUE(fleet.send(1, harmless, at(1s)));
+    CHECK_FALSE(fleet.send(1, crashingRequest, at(1s)));
     fleet.run(1, at(1s));
     CHECK_EQUAL(1, fleet.answered);
-    CHECK_TRUE(fleet.send(1, culprit, at(2s)));
+    CHECK_TRUE(fleet.send(1, crashingRequest, at(2s)));
     fleet.run(1, at(2s));
     fleet.deliver(at(2s));
     CHECK_EQUAL(2, fleet.crashCount);
-    CHECK_TRUE(fleet.send(1, innocent, at(3s)));
-    CHECK_FALSE(fleet.send(0, culprit, at(3s)));
+    CHECK_TRUE(fleet.send(1, harmless, at(3s)));
+    CHECK_FALSE(fleet.send(0, crashingRequest, at(3s)));
 }
 
-TEST(Quarantine, ARequestThatMustRunAloneIsNotHeldBackForEver)
+TEST(Quarantine, AnIsolatedRequestIsNotStarved)
 {
-    // An innocent request with a strike waits on a busy upstream. New requests kept starting, the upstream was never
-    // idle, and the caller's deadline passed.
+    // Guards against starvation of a request with one strike on a busy upstream: new requests kept starting, so the upstream was
+    // never idle, and the request missed its deadline.
     IsolationGate gate(1s);
     base::RequestId suspect("s");
     gate.isolatedRequestQueued(at(0s));
@@ -182,22 +183,22 @@
     CHECK_TRUE(gate.mayStart(QuarantineState::Unrestricted, 0, at(2s)));
 }
 
-TEST(Quarantine, StrikesEndAndTheRefusalSaysWhen)
+TEST(Quarantine, StrikesExpireAndTheRefusalHasTheRetryTime)
 {
     Quarantine quarantine({});
-    quarantine.onCrash(CrashId("a/1"), { culprit }, at(0s));
-    quarantine.onCrash(CrashId("b/1"), { culprit }, at(60s));
-    auto refusal = quarantine.refusal(culprit, at(61s));
+    quarantine.onCrash(CrashId("a/1"), { crashingRequest }, at(0s));
+    quarantine.onCrash(CrashId("b/1"), { crashingRequest }, at(60s));
+    auto refusal = quarantine.refusal(crashingRequest, at(61s));
     CHECK_TRUE(refusal->code == base::RefusalCode::RequestQuarantined);
     CHECK_TRUE(refusal->ran == base::RanState::NotRun);
     CHECK_TRUE(*refusal->retryAt == at(10min));
-    CHECK_TRUE(quarantine.state(culprit, at(10min)) == QuarantineState::Isolated);
-    CHECK_TRUE(quarantine.state(culprit, at(11min)) == QuarantineState::Unrestricted);
+    CHECK_TRUE(quarantine.state(crashingRequest, at(10min)) == QuarantineState::Isolated);
+    CHECK_TRUE(quarantine.state(crashingRequest, at(11min)) == QuarantineState::Unrestricted);
     quarantine.expire(at(11min));
     CHECK_EQUAL(0, quarantine.size());
 }
 
-TEST(Quarantine, MergingInAnyOrderAndTwiceGivesTheSame)
+TEST(Quarantine, MergeIsCommutativeAndIdempotent)
 {
     CHECK_PROPERTY([] {
         auto strike = rc::gen::map(rc::gen::tuple(rc::gen::inRange(0, 3), rc::gen::inRange(0, 3), rc::gen::inRange(-1, 20)), [](const auto& parts) {
@@ -226,12 +227,12 @@
     });
 }
 
-TEST(Quarantine, StrikesPassedInACircleDieOut)
+TEST(Quarantine, StrikesExchangedInALoopExpire)
 {
     Quarantine left({ .strikeLifetime = 10s });
     Quarantine right({ .strikeLifetime = 10s });
-    left.onCrash(CrashId("a/1"), { culprit }, at(0s));
-    // Each message takes half a second, in both directions, without end.
+    left.onCrash(CrashId("a/1"), { crashingRequest }, at(0s));
+    // Both sides keep exporting to each other, with a latency of half a second.
     for (int step = 1; step <= 60; ++step) {
         auto now = at(500ms * step);
         auto toRight = left.exportStrikes(now - 500ms);
@@ -245,13 +246,13 @@
     CHECK_EQUAL(0, right.size());
 }
 
-TEST(Quarantine, TheSetIsBoundedAndKeepsWhatIsRefused)
+TEST(Quarantine, TheStrikeSetIsBoundedAndKeepsRefusedFingerprints)
 {
     Quarantine quarantine({ .maximumStrikes = 10 });
-    quarantine.onCrash(CrashId("a/1"), { culprit }, at(0s));
-    quarantine.onCrash(CrashId("a/2"), { culprit }, at(0s));
+    quarantine.onCrash(CrashId("a/1"), { crashingRequest }, at(0s));
+    quarantine.onCrash(CrashId("a/2"), { crashingRequest }, at(0s));
     for (int index = 0; index < 100; ++index)
         quarantine.onCrash(CrashId(base::concat("b/", index)), { RequestFingerprint(base::concat(index)) }, at(1s));
     CHECK_TRUE(quarantine.size() <= 10);
-    CHECK_TRUE(quarantine.state(culprit, at(2s)) == QuarantineState::Refused);
+    CHECK_TRUE(quarantine.state(crashingRequest, at(2s)) == QuarantineState::Refused);
 }
--- a/packages/routing/test/RequestQueueTest.cpp
+++ b/packages/routing/test/RequestQueueTest.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-bool everything(const QueuedRequest&) { return true; }
+bool anyRequest(const QueuedRequest&) { return true; }
 
 QueuedRequest makeRequest(int64_t number, const std::string& account, int64_t weight, int64_t cost, const std::string& kind = "ask", int64_t kindWeight = 1)
 {
@@ -28,8 +28,8 @@
 constexpr int64_t largestCost = 4000;
 constexpr int64_t quantum = 256;
 
-// Keeps every account backlogged, and checks that what each got stays in proportion to its weight within the bound of
-// deficit round robin: one largest cost and one quantum for each account.
+// Keeps every account backlogged and checks that the service of any two accounts, divided by their weights, differs by no more
+// than the bound of deficit round robin: one largest cost and one quantum for each of them.
 void checkShares(RequestQueue& queue)
 {
     auto accounts = *rc::gen::inRange(2, 5);
@@ -49,7 +49,7 @@
         for (int copy = 0; copy < 2; ++copy)
             push(account);
     for (int step = 0; step < 300; ++step) {
-        auto request = queue.pop(at(0s), everything);
+        auto request = queue.pop(at(0s), anyRequest);
         RC_ASSERT(request.has_value());
         served[request->account.value()] += request->cost.value();
         push(std::stoi(request->account.value().substr(1)));
@@ -69,50 +69,50 @@
     std::unique_ptr<RequestQueue> queue = makeFairQueue({ base::Tokens(quantum) });
 };
 
-TEST(RequestQueue, ASmallAccountIsServedSoonBehindAFlood)
+TEST(RequestQueue, AnotherAccountsLongQueueDoesNotDelayASmallAccount)
 {
-    // One account sends five times its rate and fills the queue. The farm's one request came last, and its caller gave
-    // up: the queue went strictly by arrival.
+    // One account sends five times its rate and fills the queue. In a first-in, first-out queue the single request of another
+    // account waits behind all of them, and its caller gives up.
     for (int64_t number = 0; number < 500; ++number)
         queue->push(makeRequest(number, "ferry", 1, 1000), 0s, at(0s));
     queue->push(makeRequest(1000, "farm", 1, 1000), 0s, at(0s));
     int position = 1;
-    while (queue->pop(at(0s), everything)->account.value() != "farm")
+    while (queue->pop(at(0s), anyRequest)->account.value() != "farm")
         ++position;
     CHECK_TRUE(position <= 2);
 }
 
-TEST(RequestQueue, ALargeRequestOfASmallAccountWaitsForOneTurnAndIsPaidForAfterwards)
+TEST(RequestQueue, ALargeRequestWaitsForOneTurnAndItsDebtIsRepaidAfterwards)
 {
-    // The farm's rare long prompts were refused in a flood of short ones although the farm was far below its share: each
-    // had to save up for its cost over sixteen rounds, past its deadline.
+    // Guards against refusing the rare long prompts of an account that is far below its share: if a flow has to collect the whole
+    // cost before it is served, a prompt of 16 quanta waits 16 rounds and misses its deadline.
     for (int64_t number = 0; number < 500; ++number)
         queue->push(makeRequest(number, "ferry", 1, quantum), 0s, at(0s));
-    queue->pop(at(0s), everything);
-    auto turnsUntilTheFarm = [&](int64_t number) {
+    queue->pop(at(0s), anyRequest);
+    auto turnsUntilFarm = [&](int64_t number) {
         queue->push(makeRequest(number, "farm", 1, 16 * quantum), 0s, at(0s));
         int turns = 1;
-        while (queue->pop(at(0s), everything)->account.value() != "farm")
+        while (queue->pop(at(0s), anyRequest)->account.value() != "farm")
             ++turns;
         return turns;
     };
-    CHECK_TRUE(turnsUntilTheFarm(1000) <= 2);
-    auto second = turnsUntilTheFarm(1001);
+    CHECK_TRUE(turnsUntilFarm(1000) <= 2);
+    auto second = turnsUntilFarm(1001);
     CHECK_TRUE(second >= 14);
     CHECK_TRUE(second <= 18);
 }
 
-TEST(RequestQueue, ADebtIsPaidWhileNothingIsQueued)
+TEST(RequestQueue, ADebtIsRepaidWhileTheFlowIsEmpty)
 {
-    // The farm sends a long prompt now and then. The debt of the first one must not hold up the next one an hour later.
+    // An account sends a long prompt now and then. The debt from one prompt must not delay the next one an hour later.
     for (int64_t number = 0; number < 100; ++number)
         queue->push(makeRequest(number, "ferry", 1, quantum), 0s, at(0s));
     queue->push(makeRequest(1000, "farm", 1, 16 * quantum), 0s, at(0s));
     for (int turn = 0; turn < 50; ++turn)
-        queue->pop(at(0s), everything);
+        queue->pop(at(0s), anyRequest);
     queue->push(makeRequest(1001, "farm", 1, quantum), 0s, at(0s));
-    auto first = queue->pop(at(0s), everything)->account.value();
-    auto second = queue->pop(at(0s), everything)->account.value();
+    auto first = queue->pop(at(0s), anyRequest)->account.value();
+    auto second = queue->pop(at(0s), anyRequest)->account.value();
     CHECK_TRUE(first == "farm" || second == "farm");
 }
 
@@ -121,9 +121,9 @@
     for (int64_t number = 0; number < 10; ++number)
         for (const auto* account : { "farm", "ferry" })
             queue->push(makeRequest(number * 2 + (account[1] == 'e'), account, 1, quantum), 0s, at(0s));
-    auto last = queue->pop(at(0s), everything)->account;
+    auto last = queue->pop(at(0s), anyRequest)->account;
     for (int turn = 1; turn < 20; ++turn) {
-        auto account = queue->pop(at(0s), everything)->account;
+        auto account = queue->pop(at(0s), anyRequest)->account;
         CHECK_TRUE(account != last);
         last = account;
     }
@@ -134,12 +134,12 @@
     CHECK_PROPERTY([] { checkShares(*makeFairQueue({ base::Tokens(quantum) })); });
 }
 
-TEST(RequestQueue, TheCheckOfProportionalServiceRejectsFirstInFirstOut)
+TEST(RequestQueue, ServiceOfAFifoQueueIsNotProportionalToTheWeights)
 {
     CHECK_FALSE(testing::counterexample({}, [] { checkShares(*makeFifoQueue()); }).empty());
 }
 
-TEST(RequestQueue, KindsShareTheirAccountsPartByTheirWeights)
+TEST(RequestQueue, KindsDivideTheShareOfTheirAccountByTheirWeights)
 {
     std::map<std::string, int> served;
     for (int64_t number = 0; number < 400; ++number) {
@@ -148,16 +148,16 @@
         queue->push(makeRequest(2000 + number, "ferry", 1, 100), 0s, at(0s));
     }
     for (int step = 0; step < 400; ++step) {
-        auto request = queue->pop(at(0s), everything);
+        auto request = queue->pop(at(0s), anyRequest);
         ++served[request->account.value() + request->kind];
     }
-    // Two kinds give the farm no more than the ferry: half, cut three to one.
+    // "farm" gets half, although it has two kinds and "ferry" has one; its kinds divide that half three to one.
     CHECK_TRUE(std::abs(served["ferryask"] - 200) <= 15);
     CHECK_TRUE(std::abs(served["farmcontrol"] - 150) <= 15);
     CHECK_TRUE(std::abs(served["farmreport"] - 50) <= 15);
 }
 
-TEST(RequestQueue, WhatWaitsForALoadHoldsNobodyUp)
+TEST(RequestQueue, ARequestThatWaitsForAModelLoadDoesNotBlockOthers)
 {
     auto cold = makeRequest(1, "farm", 1, 100);
     cold.model = base::ModelId("cold");
@@ -166,7 +166,7 @@
     auto loaded = [](const QueuedRequest& request) { return request.model.value() != "cold"; };
     STRCMP_EQUAL("2", queue->pop(at(0s), loaded)->id.value().c_str());
     CHECK_FALSE(queue->pop(at(0s), loaded).has_value());
-    STRCMP_EQUAL("1", queue->pop(at(0s), everything)->id.value().c_str());
+    STRCMP_EQUAL("1", queue->pop(at(0s), anyRequest)->id.value().c_str());
 }
 
 TEST(RequestQueue, WhatCannotBeServedInTimeIsRefusedAtOnce)
@@ -177,7 +177,7 @@
     CHECK_EQUAL(0, queue->size());
     queue->push(makeRequest(2, "farm", 1, 100), 0s, at(0s));
     CHECK_TRUE(queue->takeExpired(at(100s)).empty());
-    CHECK_FALSE(queue->pop(at(101s), everything).has_value());
+    CHECK_FALSE(queue->pop(at(101s), anyRequest).has_value());
     auto expired = queue->takeExpired(at(101s));
     CHECK_EQUAL(1, expired.size());
     CHECK_TRUE(expired[0].refusal.code == base::RefusalCode::DeadlineExceeded);
@@ -196,16 +196,16 @@
     CHECK_TRUE(queue->backlog().empty());
 }
 
-TEST(RequestQueue, AnAccountsRecentServiceIsToldAndFades)
+TEST(RequestQueue, TheServiceRateOfAnAccountIsReportedAndDecays)
 {
     queue->push(makeRequest(1, "farm", 1, 1000), 0s, at(0s));
-    queue->pop(at(0s), everything);
+    queue->pop(at(0s), anyRequest);
     CHECK_EQUAL(1, queue->backlog().size());
     CHECK_EQUAL(0, queue->backlog()[0].queued.value());
     CHECK_EQUAL(100, queue->backlog()[0].servedPerSecond.value());
-    queue->pop(at(60s), everything);
+    queue->pop(at(60s), anyRequest);
     queue->push(makeRequest(2, "ferry", 1, 1000), 0s, at(60s));
-    queue->pop(at(60s), everything);
+    queue->pop(at(60s), anyRequest);
     CHECK_EQUAL(1, queue->backlog().size());
     STRCMP_EQUAL("ferry", queue->backlog()[0].account.value().c_str());
 }
@@ -236,7 +236,7 @@
                     break;
                 }
                 case 3: {
-                    // Whoever can no longer start in time is told so, once, and nobody else is.
+                    // Exactly the requests past their latest start are returned, each once.
                     auto now = at(std::chrono::seconds(step));
                     for (const auto& expired : tested->takeExpired(now)) {
                         RC_ASSERT(expired.refusal.ran == base::RanState::NotRun);
@@ -258,8 +258,8 @@
                 }
                 }
                 int64_t queued = 0;
-                for (const auto& part : tested->backlog())
-                    queued += part.queued.value();
+                for (const auto& entry : tested->backlog())
+                    queued += entry.queued.value();
                 int64_t expected = 0;
                 for (const auto& [id, request] : oracle)
                     expected += request.cost.value();
--- a/packages/routing/test/RetryBudgetTest.cpp
+++ b/packages/routing/test/RetryBudgetTest.cpp
@@ -4,7 +4,7 @@
 using namespace toucanstep::routing;
 
 TEST_GROUP(RetryBudget) {
-    // Attempts that upstreams see for this many requests when every attempt fails.
+    // The number of attempts made for this many requests if every attempt fails.
     static int64_t attemptsWhenAllFail(RetryBudgetSettings settings, int64_t requests) {
         RetryBudget budget(settings);
 int64_t attempts = 0;
@@ -21,11 +21,12 @@
 
 TEST(RetryBudget, FailingUpstreamsSeeATenthMoreRequests)
 {
-    // All upstreams of a pool fail at once. Every caller's request is tried three times, so the upstreams that come back
-    // meet three times the load and fail again.
-    // 10,000 first attempts, 10 retries saved at the start, and 999 whole ones earned: the first request's tenth is above the cap.
+    // Guards against a retry storm after all upstreams of a pool fail at once: with three attempts per request, recovering
+    // upstreams get three times the load and fail again.
+    // 10,000 first attempts, 10 retries from the initial balance and 999 added ones: the tenth of a retry that the first request
+    // adds is lost, because the balance is at its cap.
     CHECK_EQUAL(11009, attemptsWhenAllFail({}, 10000));
-    // Without a budget the same requests make three attempts each.
+    // With a practically unlimited budget, each request makes three attempts.
     CHECK_EQUAL(30000, attemptsWhenAllFail({ .percent = 1000000, .reserve = 1000000 }, 10000));
 }
 
--- a/packages/routing/test/RouterTest.cpp
+++ b/packages/routing/test/RouterTest.cpp
@@ -20,12 +20,12 @@
     void connect(const base::UpstreamId& upstream, int64_t inFlight, int64_t tokens)
     {
         table.setConnected(upstream, true);
-        table.report(upstream, reportOf(1, inFlight, tokens), at(0s));
+        table.report(upstream, makeReport(1, inFlight, tokens), at(0s));
     }
 
     RouteDecision decide(const std::vector<Holder>& holders, base::Duration timeout = 60s)
     {
-        return router->choose(requestAt(at(1s), timeout), holders, table, prefixes, generator);
+        return router->choose(makeRouteRequest(at(1s), timeout), holders, table, prefixes, generator);
     }
 };
 
@@ -33,7 +33,7 @@
 {
     connect(first, 4, 4000);
     connect(second, 1, 1000);
-    auto decision = decide({ loadedHolder("u1", 7), loadedHolder("u2", 9) });
+    auto decision = decide({ makeLoadedHolder("u1", 7), makeLoadedHolder("u2", 9) });
     CHECK_TRUE(decision.chosen == second);
     CHECK_EQUAL(9, decision.epoch.value());
     CHECK_TRUE(decision.reason == RouteReason::LeastWait);
@@ -41,52 +41,52 @@
     STRCMP_EQUAL("u1:eligible:2500ms:epoch7,u2:eligible:0ms:epoch9", describeCandidates(decision).c_str());
 }
 
-TEST(Router, OwnDispatchesCountUntilAReportCountsThem)
+TEST(Router, OwnDispatchesAreAddedUntilAReportIncludesThem)
 {
-    // A burst reaches one gateway: eight callers within one millisecond see one idle and one nearly idle upstream. Every
-    // decision falls before the first answer brings new figures; without counting its own dispatches the gateway sends all to one.
+    // A burst of eight requests reaches one gateway within a millisecond. All of them are routed before the first response carries
+    // a new report; a gateway that does not count its own dispatches can send them all to one upstream.
     connect(first, 0, 0);
     connect(second, 0, 0);
     std::map<base::UpstreamId, int> chosen;
     for (int index = 0; index < 8; ++index) {
-        auto decision = decide({ loadedHolder("u1"), loadedHolder("u2") });
+        auto decision = decide({ makeLoadedHolder("u1"), makeLoadedHolder("u2") });
         ++chosen[*decision.chosen];
         table.dispatched(*decision.chosen, { base::ClientAccountId("farm"), 1, base::Tokens(100) });
     }
     CHECK_EQUAL(4, chosen[first]);
     CHECK_EQUAL(4, chosen[second]);
-    auto report = reportOf(2, 4, 400);
+    auto report = makeReport(2, 4, 400);
     report.lastDispatchSeen = DispatchNumber(4);
     table.report(first, report, at(1s));
     CHECK_TRUE(table.find(first)->unreported.empty());
     CHECK_EQUAL(4, UpstreamTable::currentLoad(*table.find(first)).inFlight);
 }
 
-TEST(Router, AReportThatOvertookANewerOneChangesNothing)
+TEST(Router, AReportThatArrivesAfterANewerOneIsIgnored)
 {
     connect(first, 0, 0);
-    CHECK_TRUE(table.report(first, reportOf(5, 4, 400), at(1s)));
-    CHECK_FALSE(table.report(first, reportOf(4, 0, 0), at(2s)));
+    CHECK_TRUE(table.report(first, makeReport(5, 4, 400), at(1s)));
+    CHECK_FALSE(table.report(first, makeReport(4, 0, 0), at(2s)));
     CHECK_EQUAL(4, table.find(first)->report.load.inFlight);
 }
 
 TEST(Router, AnotherAccountsLongQueueIsNoReasonToRefuse)
 {
-    // The ferry's account floods an upstream. The farm's single request with a deadline of ten seconds was refused at the
-    // gateway although the sidecar's fair queue would have served it within two: the whole queue was counted as its wait.
+    // One account floods an upstream. The gateway refused another account's single request with a timeout of ten seconds, because
+    // it counted the whole queue as its wait; the sidecar's fair queue would have served it within two seconds.
     connect(first, 4, 400);
-    auto report = reportOf(2, 4, 400);
+    auto report = makeReport(2, 4, 400);
     report.load.backlog = { { base::ClientAccountId("ferry"), 1, base::Tokens(1000000) } };
     table.report(first, report, at(0s));
-    auto decision = decide({ loadedHolder("u1") }, 10s);
+    auto decision = decide({ makeLoadedHolder("u1") }, 10s);
     CHECK_TRUE(decision.chosen == first);
     CHECK_TRUE(decision.expectedWait < 2s);
 }
 
-TEST(Router, ALongQueueOfOnesOwnDoesNotCountOnSpeedThatOthersTakeBack)
+TEST(Router, TheWaitOfAnAccountAboveItsShareIncludesTheDemandOfOthers)
 {
-    // An account floods an upstream while four others send a little now and then. Its requests were queued as if it had the
-    // whole upstream, and a third of them were refused only at their deadline.
+    // An account floods an upstream while four others send occasional requests. Its expected wait assumed the throughput of the
+    // whole upstream, so its requests were queued, and a third of them were refused only at their deadline.
     UpstreamLoad load { .slots = 4, .tokensPerSecond = 50, .inFlight = 4, .inFlightTokens = base::Tokens(400) };
     load.backlog = { { base::ClientAccountId("ferry"), 1, base::Tokens(1800), base::Tokens(120) } };
     NewRequest flood { base::ClientAccountId("ferry"), 1, base::Tokens(200) };
@@ -97,14 +97,14 @@
     CHECK_TRUE(expectedWait(load, small) < 2s);
 }
 
-TEST(Router, NobodyInTimeIsRefusedWithTheTimeThatWouldDo)
+TEST(Router, ADeadlineThatNoHolderCanMeetIsRefusedWithARetryTime)
 {
     connect(first, 4, 16000);
-    auto decision = decide({ loadedHolder("u1") }, 4s);
+    auto decision = decide({ makeLoadedHolder("u1") }, 4s);
     CHECK_FALSE(decision.chosen.has_value());
     CHECK_TRUE(decision.refusal->code == base::RefusalCode::DeadlineUnreachable);
     CHECK_TRUE(decision.refusal->ran == base::RanState::NotRun);
-    // 16,000 tokens over four streams of 100 a second: the first ends after 10 s; a patience of 4 s is enough from 6 s on.
+    // 16,000 tokens in four streams of 100 tokens per second: the first ends after 10 s, so a timeout of 4 s is enough from 6 s on.
     CHECK_TRUE(*decision.refusal->retryAt == at(7s));
 }
 
@@ -113,14 +113,14 @@
     connect(first, 0, 0);
     connect(second, 4, 400);
     table.setTerminating(first, true);
-    CHECK_TRUE(decide({ loadedHolder("u1"), loadedHolder("u2") }).chosen == second);
+    CHECK_TRUE(decide({ makeLoadedHolder("u1"), makeLoadedHolder("u2") }).chosen == second);
     table.setTerminating(first, false);
-    auto leaving = reportOf(2, 0, 0);
+    auto leaving = makeReport(2, 0, 0);
     leaving.leaving = true;
     table.report(first, leaving, at(0s));
-    CHECK_TRUE(decide({ loadedHolder("u1"), loadedHolder("u2") }).chosen == second);
+    CHECK_TRUE(decide({ makeLoadedHolder("u1"), makeLoadedHolder("u2") }).chosen == second);
     table.setConnected(second, false);
-    auto decision = decide({ loadedHolder("u1"), loadedHolder("u2") });
+    auto decision = decide({ makeLoadedHolder("u1"), makeLoadedHolder("u2") });
     CHECK_FALSE(decision.chosen.has_value());
     CHECK_TRUE(decision.refusal->code == base::RefusalCode::NoCapacity);
     CHECK_TRUE(decision.candidates[0].verdict == CandidateVerdict::Leaving);
@@ -131,13 +131,13 @@
 {
     connect(first, 0, 0);
     connect(second, 2, 200);
-    auto suspect = reportOf(2, 1, 100);
+    auto suspect = makeReport(2, 1, 100);
     suspect.quarantining = true;
     table.report(first, suspect, at(0s));
-    CHECK_TRUE(decide({ loadedHolder("u1"), loadedHolder("u2") }).chosen == second);
-    CHECK_TRUE(decide({ loadedHolder("u1") }).chosen == first);
-    auto later = requestAt(at(100s), 60s);
-    auto decision = router->choose(later, { loadedHolder("u2") }, table, prefixes, generator);
+    CHECK_TRUE(decide({ makeLoadedHolder("u1"), makeLoadedHolder("u2") }).chosen == second);
+    CHECK_TRUE(decide({ makeLoadedHolder("u1") }).chosen == first);
+    auto later = makeRouteRequest(at(100s), 60s);
+    auto decision = router->choose(later, { makeLoadedHolder("u2") }, table, prefixes, generator);
     CHECK_TRUE(decision.chosen == second);
     CHECK_TRUE(decision.reason == RouteReason::StaleHolder);
 }
@@ -156,21 +156,21 @@
     CHECK_TRUE(*refused.refusal->retryAt == at(3s));
 }
 
-TEST(Router, APrefixIsFollowedOnlyWhileItsUpstreamIsNotOverloaded)
+TEST(Router, PrefixAffinityAppliesOnlyWhileTheUpstreamIsNotOverloaded)
 {
     connect(first, 1, 100);
     connect(second, 0, 0);
-    auto request = requestAt(at(1s), 60s);
+    auto request = makeRouteRequest(at(1s), 60s);
     request.prefixes = { PrefixFingerprint(1), PrefixFingerprint(2) };
     prefixes.stored(first, PrefixFingerprint(1), at(0s));
-    auto decision = router->choose(request, { loadedHolder("u1"), loadedHolder("u2") }, table, prefixes, generator);
+    auto decision = router->choose(request, { makeLoadedHolder("u1"), makeLoadedHolder("u2") }, table, prefixes, generator);
     CHECK_TRUE(decision.chosen == first);
     CHECK_TRUE(decision.reason == RouteReason::PrefixAffinity);
-    table.report(first, reportOf(2, 4, 4000), at(0s));
-    CHECK_TRUE(router->choose(request, { loadedHolder("u1"), loadedHolder("u2") }, table, prefixes, generator).chosen == second);
+    table.report(first, makeReport(2, 4, 4000), at(0s));
+    CHECK_TRUE(router->choose(request, { makeLoadedHolder("u1"), makeLoadedHolder("u2") }, table, prefixes, generator).chosen == second);
 }
 
-TEST(Router, AChoiceIsAlwaysReachableInTimeAndNeverMadeBesideARefusal)
+TEST(Router, AChoiceIsReachableInTimeAndExcludesARefusal)
 {
     CHECK_PROPERTY_WITH(testing::PropertyOptions { .maxSuccess = 3000 }, [] {
         UpstreamTable upstreams;
@@ -180,7 +180,7 @@
             base::UpstreamId id(base::concat("u", index));
             upstreams.setConnected(id, *rc::gen::arbitrary<bool>());
             upstreams.setTerminating(id, *rc::gen::weightedElement<bool>({ { 4, false }, { 1, true } }));
-            auto report = reportOf(1, *rc::gen::inRange(0, 6), *rc::gen::inRange(0, 10000));
+            auto report = makeReport(1, *rc::gen::inRange(0, 6), *rc::gen::inRange(0, 10000));
             report.quarantining = *rc::gen::arbitrary<bool>();
             upstreams.report(id, report, at(std::chrono::seconds(*rc::gen::inRange(0, 5))));
             auto state = *rc::gen::element(HolderState::Cold, HolderState::Loading, HolderState::Loaded);
@@ -189,7 +189,7 @@
                 end = at(std::chrono::seconds(*rc::gen::inRange(0, 20)));
             holders.push_back({ id, base::Epoch(1), state, end });
         }
-        auto request = requestAt(at(5s), std::chrono::seconds(*rc::gen::inRange(0, 15)));
+        auto request = makeRouteRequest(at(5s), std::chrono::seconds(*rc::gen::inRange(0, 15)));
         RandomGenerator random { 7 };
         auto decision = makeExpectedWaitRouter({})->choose(request, holders, upstreams, PrefixIndex(10, 1min), random);
         RC_ASSERT(decision.chosen.has_value() != decision.refusal.has_value());
@@ -211,13 +211,13 @@
     auto random = makeRandomRouter();
     std::map<base::UpstreamId, int> chosen;
     for (int index = 0; index < 100; ++index)
-        ++chosen[*random->choose(requestAt(at(1s), 60s), { loadedHolder("u1"), loadedHolder("u2") }, table, prefixes, generator).chosen];
+        ++chosen[*random->choose(makeRouteRequest(at(1s), 60s), { makeLoadedHolder("u1"), makeLoadedHolder("u2") }, table, prefixes, generator).chosen];
     CHECK_TRUE(chosen[first] > 20 && chosen[second] > 20);
 }
 
 TEST_GROUP(PrefixIndex) {};
 
-TEST(PrefixIndex, LateAndLostEventsOnlyChangeHints)
+TEST(PrefixIndex, LateAndLostEventsAreTolerated)
 {
     PrefixIndex index(2, 1min);
     base::UpstreamId upstream("u1");
@@ -248,7 +248,7 @@
 
 TEST_GROUP(Admission) {};
 
-TEST(Admission, ARequestThatCannotMakeItIsRefusedBeforeItWaits)
+TEST(Admission, ARequestThatCannotMeetItsDeadlineIsRefusedBeforeQueueing)
 {
     UpstreamLoad load { .slots = 1, .tokensPerSecond = 100, .inFlight = 1, .inFlightTokens = base::Tokens(500) };
     AdmissionRequest request { .request = { base::ClientAccountId("farm"), 1, base::Tokens(10) }, .deadline = at(3s) };
