--- a/packages/gateway/src/PermitHome.cpp
+++ b/packages/gateway/src/PermitHome.cpp
@@ -64,7 +64,7 @@
     scheduleLend();
 }
 
-void PermitHome::answer(const Waiting& waiting, const placement::LentPermit* lent)
+void PermitHome::answer(const Waiting& waiting, const placement::PermitLease* lent)
 {
     base::Instant now = m_node.traffic().now();
     peers::PermitAnswer answer;
@@ -83,7 +83,7 @@
 {
     base::Instant now = m_node.traffic().now();
     std::erase_if(m_waiting, [](const Waiting& waiting) { return waiting.responder->closed(); });
-    for (const placement::LentPermit& lent : m_permits->tick(now)) {
+    for (const placement::PermitLease& lent : m_permits->tick(now)) {
         auto found = std::find_if(m_waiting.begin(), m_waiting.end(), [&](const Waiting& waiting) { return waiting.borrower == lent.borrower && waiting.model == lent.model; });
         if (found == m_waiting.end()) {
             // Nobody hears the answer; the borrower gets the same permit when it asks again.
--- a/packages/gateway/src/PermitHome.h
+++ b/packages/gateway/src/PermitHome.h
@@ -32,7 +32,7 @@
     // Lends what is free to those who wait, and answers them.
     void lend();
     void scheduleLend();
-    void answer(const Waiting&, const placement::LentPermit*);
+    void answer(const Waiting&, const placement::PermitLease*);
     void onAsk(const peers::IncomingCall&, const std::shared_ptr<peers::PeerResponder>&);
     void onReturn(const peers::IncomingCall&, const std::shared_ptr<peers::PeerResponder>&);
 
--- a/packages/placement/include/toucanstep/placement/LoadPermits.h
+++ b/packages/placement/include/toucanstep/placement/LoadPermits.h
@@ -31,7 +31,7 @@
     base::Duration loadTime {};
 };
 
-struct LentPermit {
+struct PermitLease {
     PermitId id;
     base::UpstreamId borrower;
     base::ModelId model;
@@ -55,12 +55,12 @@
     explicit LoadPermits(PermitSettings);
     // Asks, or asks again with a newer deadline; one request for each borrower and model. A permit that is already lent
     // to it is returned again, so a lost answer costs nothing.
-    std::optional<LentPermit> ask(const PermitRequest&, base::Instant now);
+    std::optional<PermitLease> ask(const PermitRequest&, base::Instant now);
     // Nobody waits any more.
     void withdraw(const base::UpstreamId&, const base::ModelId&);
     void giveBack(PermitId);
     // Lends what is free to the first in order, and returns what was lent by this call.
-    std::vector<LentPermit> tick(base::Instant now);
+    std::vector<PermitLease> tick(base::Instant now);
     int64_t lent(PermitKind, base::Instant now) const;
     // When a permit is expected for this request if it were asked for now.
     base::Instant expectedAt(const PermitRequest&, base::Instant now) const;
@@ -77,12 +77,12 @@
     };
     int64_t limit(PermitKind) const;
     void expire(base::Instant now);
-    const LentPermit* findLent(const Key&) const;
+    const PermitLease* findLent(const Key&) const;
     static bool before(const PermitRequest&, const PermitRequest&);
 
     PermitSettings m_settings;
     std::map<Key, Waiting> m_waiting;
-    std::map<PermitId, LentPermit> m_lent;
+    std::map<PermitId, PermitLease> m_lent;
     std::map<PermitId, base::Instant> m_expectedEnd;
     PermitId m_last;
 };
--- a/packages/placement/src/LoadPermits.cpp
+++ b/packages/placement/src/LoadPermits.cpp
@@ -28,7 +28,7 @@
     std::erase_if(m_waiting, [&](const auto& entry) { return entry.second.asked + m_settings.askAgainWithin < now; });
 }
 
-const LentPermit* LoadPermits::findLent(const Key& key) const
+const PermitLease* LoadPermits::findLent(const Key& key) const
 {
     for (const auto& [id, permit] : m_lent)
         if (permit.borrower == key.borrower && permit.model == key.model)
@@ -36,7 +36,7 @@
     return nullptr;
 }
 
-std::optional<LentPermit> LoadPermits::ask(const PermitRequest& request, base::Instant now)
+std::optional<PermitLease> LoadPermits::ask(const PermitRequest& request, base::Instant now)
 {
     expire(now);
     Key key { request.borrower, request.model };
@@ -64,10 +64,10 @@
     return std::count_if(m_lent.begin(), m_lent.end(), [&](const auto& entry) { return entry.second.kind == kind && entry.second.until > now; });
 }
 
-std::vector<LentPermit> LoadPermits::tick(base::Instant now)
+std::vector<PermitLease> LoadPermits::tick(base::Instant now)
 {
     expire(now);
-    std::vector<LentPermit> granted;
+    std::vector<PermitLease> granted;
     for (auto kind : { PermitKind::Model, PermitKind::Adapter }) {
         while (lent(kind, now) < limit(kind)) {
             auto first = m_waiting.end();
@@ -79,7 +79,7 @@
             const auto& request = first->second.request;
             m_last += PermitId(1);
             auto loan = std::max(m_settings.shortestLoan, base::Duration(request.loadTime * m_settings.loanPercent / 100));
-            LentPermit permit { m_last, request.borrower, request.model, kind, now + loan };
+            PermitLease permit { m_last, request.borrower, request.model, kind, now + loan };
             m_expectedEnd[m_last] = now + request.loadTime;
             m_lent.emplace(m_last, permit);
             granted.push_back(permit);
--- a/packages/placement/test/LoadPermitsTest.cpp
+++ b/packages/placement/test/LoadPermitsTest.cpp
@@ -20,7 +20,7 @@
 {
     LoadPermits permits(settings);
     auto now = at(0s);
-    std::vector<LentPermit> lent;
+    std::vector<PermitLease> lent;
     auto steps = *rc::gen::inRange(0, 60);
     for (int step = 0; step < steps; ++step) {
         now += std::chrono::milliseconds(*rc::gen::inRange(0, 3000));
