--- a/bench/keepalive_replay.cpp
+++ b/bench/keepalive_replay.cpp
@@ -285,7 +285,7 @@
             m_totals.loads += isCounted() ? 1 : 0;
             at(loadTimeOf(model), [this, model, id = order.id, &resident, &home] {
                 resident[idOf(model)] = EngineModelState::Ready;
-                m_permits.giveBack(m_held[model]);
+                m_permits.release(m_held[model]);
                 home.onOrderResult(id, OrderOutcome::Done, m_now);
                 serveWaiting(model);
                 tickWaitingEngines();
--- a/packages/gateway/src/PermitHome.cpp
+++ b/packages/gateway/src/PermitHome.cpp
@@ -120,7 +120,7 @@
         return;
     }
     if (message->permit)
-        m_permits->giveBack(placement::PermitId(message->permit));
+        m_permits->release(placement::PermitId(message->permit));
     else
         m_permits->withdraw(base::UpstreamId(call.from.value()), message->model);
     responder->finish();
--- a/packages/placement/include/toucanstep/placement/LoadPermits.h
+++ b/packages/placement/include/toucanstep/placement/LoadPermits.h
@@ -58,7 +58,7 @@
     std::optional<PermitLease> ask(const PermitRequest&, base::Instant now);
     // Nobody waits any more.
     void withdraw(const base::UpstreamId&, const base::ModelId&);
-    void giveBack(PermitId);
+    void release(PermitId);
     // Lends what is free to the first in order, and returns what was lent by this call.
     std::vector<PermitLease> tick(base::Instant now);
     int64_t lent(PermitKind, base::Instant now) const;
--- a/packages/placement/src/LoadPermits.cpp
+++ b/packages/placement/src/LoadPermits.cpp
@@ -53,7 +53,7 @@
     m_waiting.erase(Key { borrower, model });
 }
 
-void LoadPermits::giveBack(PermitId id)
+void LoadPermits::release(PermitId id)
 {
     m_lent.erase(id);
     m_expectedEnd.erase(id);
--- a/packages/placement/test/LoadPermitsTest.cpp
+++ b/packages/placement/test/LoadPermitsTest.cpp
@@ -29,7 +29,7 @@
             if (auto permit = permits.ask(requestFrom(borrower, 60s), now))
                 lent.push_back(*permit);
         } else if (!lent.empty()) {
-            permits.giveBack(lent.back().id);
+            permits.release(lent.back().id);
             lent.pop_back();
         }
         for (const auto& permit : permits.tick(now))
@@ -64,7 +64,7 @@
     permits.ask(requestFrom(11, 30s), at(1s));
     permits.ask(requestFrom(12, 30s, 5), at(1s));
     auto held = permits.ask(requestFrom(0, 60s), at(1s));
-    permits.giveBack(held->id);
+    permits.release(held->id);
     auto lent = permits.tick(at(2s));
     CHECK_EQUAL(1, lent.size());
     STRCMP_EQUAL("u12", lent[0].borrower.value().c_str());
