--- a/bench/keepalive_replay.cpp
+++ b/bench/keepalive_replay.cpp
@@ -267,7 +267,7 @@
 
     bool mayLoad(int engine, int model, base::Instant deadline)
     {
-        auto permit = m_permits.ask({ base::UpstreamId(base::concat(engine)), idOf(model), PermitKind::Model, deadline, 1, loadTimeOf(model) }, m_now);
+        auto permit = m_permits.requestPermit({ base::UpstreamId(base::concat(engine)), idOf(model), PermitKind::Model, deadline, 1, loadTimeOf(model) }, m_now);
         if (permit)
             m_held[model] = permit->id;
         return permit.has_value();
--- a/packages/gateway/src/PermitHome.cpp
+++ b/packages/gateway/src/PermitHome.cpp
@@ -56,7 +56,7 @@
     request.weight = ask->weight;
     request.loadTime = ask->loadTime;
     Waiting waiting { request.borrower, request.model, responder, now + longestHold };
-    if (auto lent = m_permits->ask(request, now)) {
+    if (auto lent = m_permits->requestPermit(request, now)) {
         answer(waiting, &*lent);
         return;
     }
--- a/packages/placement/include/toucanstep/placement/LoadPermits.h
+++ b/packages/placement/include/toucanstep/placement/LoadPermits.h
@@ -55,7 +55,7 @@
     explicit LoadPermits(PermitSettings);
     // Asks, or asks again with a newer deadline; one request for each borrower and model. A permit that is already lent
     // to it is returned again, so a lost answer costs nothing.
-    std::optional<PermitLease> ask(const PermitRequest&, base::Instant now);
+    std::optional<PermitLease> requestPermit(const PermitRequest&, base::Instant now);
     // Nobody waits any more.
     void withdraw(const base::UpstreamId&, const base::ModelId&);
     void release(PermitId);
--- a/packages/placement/src/LoadPermits.cpp
+++ b/packages/placement/src/LoadPermits.cpp
@@ -36,7 +36,7 @@
     return nullptr;
 }
 
-std::optional<PermitLease> LoadPermits::ask(const PermitRequest& request, base::Instant now)
+std::optional<PermitLease> LoadPermits::requestPermit(const PermitRequest& request, base::Instant now)
 {
     expire(now);
     Key key { request.borrower, request.model };
--- a/packages/placement/test/LoadPermitsTest.cpp
+++ b/packages/placement/test/LoadPermitsTest.cpp
@@ -26,7 +26,7 @@
         now += std::chrono::milliseconds(*rc::gen::inRange(0, 3000));
         auto borrower = *rc::gen::inRange(0, 12);
         if (*rc::gen::arbitrary<bool>()) {
-            if (auto permit = permits.ask(requestFrom(borrower, 60s), now))
+            if (auto permit = permits.requestPermit(requestFrom(borrower, 60s), now))
                 lent.push_back(*permit);
         } else if (!lent.empty()) {
             permits.release(lent.back().id);
@@ -47,7 +47,7 @@
     void lendAll()
     {
         for (int borrower = 0; borrower < 4; ++borrower)
-            CHECK_TRUE(permits.ask(requestFrom(borrower, 60s), at(0s)).has_value());
+            CHECK_TRUE(permits.requestPermit(requestFrom(borrower, 60s), at(0s)).has_value());
     }
 };
 
@@ -60,10 +60,10 @@
 TEST(LoadPermits, TheEarliestDeadlineGoesFirstAndTheGreaterWeightAmongEqualOnes)
 {
     lendAll();
-    permits.ask(requestFrom(10, 50s), at(1s));
-    permits.ask(requestFrom(11, 30s), at(1s));
-    permits.ask(requestFrom(12, 30s, 5), at(1s));
-    auto held = permits.ask(requestFrom(0, 60s), at(1s));
+    permits.requestPermit(requestFrom(10, 50s), at(1s));
+    permits.requestPermit(requestFrom(11, 30s), at(1s));
+    permits.requestPermit(requestFrom(12, 30s, 5), at(1s));
+    auto held = permits.requestPermit(requestFrom(0, 60s), at(1s));
     permits.release(held->id);
     auto lent = permits.tick(at(2s));
     CHECK_EQUAL(1, lent.size());
@@ -72,8 +72,8 @@
 
 TEST(LoadPermits, ALostAnswerIsHealedByAskingAgain)
 {
-    auto first = permits.ask(requestFrom(1, 60s), at(0s));
-    auto again = permits.ask(requestFrom(1, 60s), at(1s));
+    auto first = permits.requestPermit(requestFrom(1, 60s), at(0s));
+    auto again = permits.requestPermit(requestFrom(1, 60s), at(1s));
     CHECK_TRUE(first->id == again->id);
     CHECK_EQUAL(1, permits.lent(PermitKind::Model, at(1s)));
 }
@@ -81,15 +81,15 @@
 TEST(LoadPermits, ABorrowerThatDiedBlocksItsPermitForALimitedTime)
 {
     lendAll();
-    CHECK_FALSE(permits.ask(requestFrom(10, 60s), at(1s)).has_value());
-    CHECK_TRUE(permits.ask(requestFrom(10, 60s), at(31s)).has_value());
+    CHECK_FALSE(permits.requestPermit(requestFrom(10, 60s), at(1s)).has_value());
+    CHECK_TRUE(permits.requestPermit(requestFrom(10, 60s), at(31s)).has_value());
 }
 
 TEST(LoadPermits, WhoNoLongerWaitsOrStoppedAskingGetsNone)
 {
     lendAll();
-    permits.ask(requestFrom(10, 60s), at(1s));
-    permits.ask(requestFrom(11, 60s), at(1s));
+    permits.requestPermit(requestFrom(10, 60s), at(1s));
+    permits.requestPermit(requestFrom(11, 60s), at(1s));
     permits.withdraw(base::UpstreamId("u10"), base::ModelId("m"));
     CHECK_TRUE(permits.tick(at(40s)).empty());
 }
@@ -99,7 +99,7 @@
     lendAll();
     CHECK_TRUE(permits.expectedAt(requestFrom(20, 60s), at(2s)) == at(10s));
     for (int borrower = 10; borrower < 14; ++borrower)
-        permits.ask(requestFrom(borrower, 50s), at(2s));
+        permits.requestPermit(requestFrom(borrower, 50s), at(2s));
     CHECK_TRUE(permits.expectedAt(requestFrom(20, 60s), at(2s)) == at(20s));
     CHECK_TRUE(permits.expectedAt(requestFrom(20, 40s), at(2s)) == at(10s));
     CHECK_TRUE(permits.expectedAt(requestFrom(20, 60s, 1, PermitKind::Adapter), at(2s)) == at(2s));
