--- a/packages/placement/include/toucanstep/placement/LoadPermits.h
+++ b/packages/placement/include/toucanstep/placement/LoadPermits.h
@@ -2,7 +2,7 @@
 //
 // A LoadPermits table lies at one gateway, the permits' home. Sidecars ask it before a load. The earliest waiting deadline
 // goes first, the greater weight among equal ones. Permits are soft: one is lent until a point of time and then counts as
-// given back, so a borrower that died takes nothing for long. LocalPermits stands in while the home can't be reached.
+// given back, so a borrower that died takes nothing for long. FallbackLoadLimiter stands in while the home can't be reached.
 
 #pragma once
 
@@ -87,7 +87,7 @@
     PermitId m_last;
 };
 
-struct LocalPermitSettings {
+struct FallbackLoadLimiterSettings {
     PermitSettings fleet;
     // Sidecars that share the store, as last heard.
     int64_t sidecars = 1;
@@ -95,10 +95,10 @@
 
 // A sidecar's guess at its fair part while the home can't be reached: one load at a time, and the begins of its loads so
 // far apart that all sidecars together, doing the same, begin loads no faster than the store completes them.
-class LocalPermits {
+class FallbackLoadLimiter {
 public:
     // `phase` in 0..999 thousandths delays the first load within the first interval; drawn at random by the caller.
-    LocalPermits(LocalPermitSettings, int64_t phaseThousandths, base::Instant now);
+    FallbackLoadLimiter(FallbackLoadLimiterSettings, int64_t phaseThousandths, base::Instant now);
     bool tryBegin(PermitKind, base::Duration loadTime, base::Instant now);
     void ended(PermitKind);
 
@@ -108,7 +108,7 @@
         base::Instant next;
         bool phased = false;
     };
-    LocalPermitSettings m_settings;
+    FallbackLoadLimiterSettings m_settings;
     int64_t m_phaseThousandths;
     Lane m_models;
     Lane m_adapters;
--- a/packages/placement/src/LoadPermits.cpp
+++ b/packages/placement/src/LoadPermits.cpp
@@ -107,7 +107,7 @@
     return *std::min_element(freeAt.begin(), freeAt.end());
 }
 
-LocalPermits::LocalPermits(LocalPermitSettings settings, int64_t phaseThousandths, base::Instant now)
+FallbackLoadLimiter::FallbackLoadLimiter(FallbackLoadLimiterSettings settings, int64_t phaseThousandths, base::Instant now)
     : m_settings(settings)
     , m_phaseThousandths(phaseThousandths)
 {
@@ -115,7 +115,7 @@
     m_adapters.next = now;
 }
 
-bool LocalPermits::tryBegin(PermitKind kind, base::Duration loadTime, base::Instant now)
+bool FallbackLoadLimiter::tryBegin(PermitKind kind, base::Duration loadTime, base::Instant now)
 {
     auto isModel = kind == PermitKind::Model;
     auto& lane = isModel ? m_models : m_adapters;
@@ -133,7 +133,7 @@
     return true;
 }
 
-void LocalPermits::ended(PermitKind kind)
+void FallbackLoadLimiter::ended(PermitKind kind)
 {
     auto& lane = kind == PermitKind::Model ? m_models : m_adapters;
     lane.running = std::max<int64_t>(0, lane.running - 1);
--- a/packages/placement/test/LoadPermitsTest.cpp
+++ b/packages/placement/test/LoadPermitsTest.cpp
@@ -109,9 +109,9 @@
 {
     // The gateway that lends the permits is cut off. Eighteen sidecars with waiting callers must neither stop nor begin
     // eighteen loads at once, which would slow the store for all.
-    std::vector<LocalPermits> sidecars;
+    std::vector<FallbackLoadLimiter> sidecars;
     for (int index = 0; index < 18; ++index)
-        sidecars.emplace_back(LocalPermitSettings { {}, 18 }, index * 1000 / 18, at(0s));
+        sidecars.emplace_back(FallbackLoadLimiterSettings { {}, 18 }, index * 1000 / 18, at(0s));
     std::vector<std::pair<int, base::Instant>> running;
     int begun = 0;
     size_t most = 0;
--- a/packages/sidecar/src/PermitClient.cpp
+++ b/packages/sidecar/src/PermitClient.cpp
@@ -50,14 +50,14 @@
 bool PermitClient::guess(Entry& entry)
 {
     if (!m_local) {
-        placement::LocalPermitSettings settings;
+        placement::FallbackLoadLimiterSettings settings;
         auto configuration = m_node.configuration();
         settings.fleet.models = configuration->loads.concurrentLoads;
         settings.fleet.adapters = configuration->loads.adaptersInFlight;
         auto instances = m_node.instances();
         settings.sidecars = std::max<int64_t>(1, static_cast<int64_t>(instances->inList(m_node.settings().listName).size()));
         auto phase = static_cast<int64_t>(absl::HashOf(m_node.startNonce()) % thousandths);
-        m_local = std::make_unique<placement::LocalPermits>(settings, phase, now());
+        m_local = std::make_unique<placement::FallbackLoadLimiter>(settings, phase, now());
     }
     entry.local = m_local->tryBegin(entry.need.kind, entry.need.loadTime, now());
     if (entry.local)
--- a/packages/sidecar/src/PermitClient.h
+++ b/packages/sidecar/src/PermitClient.h
@@ -50,7 +50,7 @@
 
     node::Node& m_node;
     std::map<base::ModelId, Entry> m_entries;
-    std::unique_ptr<placement::LocalPermits> m_local;
+    std::unique_ptr<placement::FallbackLoadLimiter> m_local;
     bool m_homeReachable = true;
     std::shared_ptr<bool> m_alive = std::make_shared<bool>(true);
 };
