--- a/bench/keepalive_replay.cpp
+++ b/bench/keepalive_replay.cpp
@@ -138,13 +138,13 @@
         for (int engine = 0; engine < engineCount; ++engine) {
             ResidencySettings settings { .capacity = base::Bytes(engineMemory), .fencing = true };
             m_engines.push_back(std::make_unique<ResidencyManager>(settings, makePolicy(), base::Epoch(1), base::Instant()));
-            std::vector<ModelFacts> facts;
+            std::vector<ModelSpec> specs;
             for (int model = 0; model < modelCount; ++model)
                 if (homeOf(model) == engine)
-                    facts.push_back({ idOf(model), modelOf(model).memory, loadTimeOf(model), std::nullopt });
-            m_engines.back()->setFacts(facts);
-            for (const auto& fact : facts)
-                m_engines.back()->grantRow(fact.model, base::Epoch(1));
+                    specs.push_back({ idOf(model), modelOf(model).memory, loadTimeOf(model), std::nullopt });
+            m_engines.back()->setModelSpecs(specs);
+            for (const auto& spec : specs)
+                m_engines.back()->grantRow(spec.model, base::Epoch(1));
             m_resident.emplace_back();
         }
     }
--- a/packages/placement/include/toucanstep/placement/ResidencyManager.h
+++ b/packages/placement/include/toucanstep/placement/ResidencyManager.h
@@ -37,7 +37,7 @@
 std::string_view residencyStateName(ResidencyState);
 
 // What the text and the host say of a model.
-struct ModelFacts {
+struct ModelSpec {
     base::ModelId model;
     base::Bytes memory;
     base::Duration loadTime {};
@@ -109,7 +109,7 @@
     ResidencyManager(ResidencySettings, std::unique_ptr<KeepAlivePolicy>, base::Epoch, base::Instant started);
 
     // Inputs.
-    void setFacts(std::vector<ModelFacts>);
+    void setModelSpecs(std::vector<ModelSpec>);
     void grantRow(const base::ModelId&, base::Epoch);
     // The row is to be given back: the model is unloaded once it is out of use; then mayRelease() turns true.
     void withdrawRow(const base::ModelId&);
@@ -146,7 +146,7 @@
 
 private:
     struct Entry {
-        ModelFacts facts;
+        ModelSpec spec;
         std::optional<base::Epoch> row;
         bool withdrawn = false;
         ResidencyState state = ResidencyState::Assigned;
--- a/packages/placement/src/ResidencyManager.cpp
+++ b/packages/placement/src/ResidencyManager.cpp
@@ -41,7 +41,7 @@
 ResidencyManager::Entry& ResidencyManager::entry(const base::ModelId& model)
 {
     auto& found = m_entries[model];
-    found.facts.model = model;
+    found.spec.model = model;
     return found;
 }
 
@@ -54,14 +54,14 @@
 // A model of unknown size is taken to fill the whole memory: nothing is loaded beside it until it is gone.
 base::Bytes ResidencyManager::memoryOf(const Entry& entry) const
 {
-    return entry.facts.memory.value() > 0 ? entry.facts.memory : m_settings.capacity;
+    return entry.spec.memory.value() > 0 ? entry.spec.memory : m_settings.capacity;
 }
 
-void ResidencyManager::setFacts(std::vector<ModelFacts> facts)
+void ResidencyManager::setModelSpecs(std::vector<ModelSpec> specs)
 {
-    std::map<base::ModelId, const ModelFacts*> given;
-    for (const auto& fact : facts)
-        given.emplace(fact.model, &fact);
+    std::map<base::ModelId, const ModelSpec*> given;
+    for (const auto& spec : specs)
+        given.emplace(spec.model, &spec);
     for (auto place = m_entries.begin(); place != m_entries.end();) {
         auto& known = place->second;
         // The size of what may be on the engine must outlive its place in the text.
@@ -70,8 +70,8 @@
             m_policy->forget(place->first);
         place = isGone ? m_entries.erase(place) : std::next(place);
     }
-    for (const auto& fact : facts)
-        entry(fact.model).facts = fact;
+    for (const auto& spec : specs)
+        entry(spec.model).spec = spec;
 }
 
 void ResidencyManager::grantRow(const base::ModelId& model, base::Epoch epoch)
@@ -141,7 +141,7 @@
     switch (*shown) {
     case EngineModelState::Loading:
         if (known.state != ResidencyState::Loading)
-            known.loadExpectedEnd = now + known.facts.loadTime;
+            known.loadExpectedEnd = now + known.spec.loadTime;
         known.state = ResidencyState::Loading;
         return;
     case EngineModelState::Unloading:
@@ -233,8 +233,8 @@
 {
     auto& wanted = entry(model);
     m_policy->onRequest(model, now);
-    if (wanted.facts.baseModel)
-        m_policy->onRequest(*wanted.facts.baseModel, now);
+    if (wanted.spec.baseModel)
+        m_policy->onRequest(*wanted.spec.baseModel, now);
     wanted.waiters.emplace(request, deadline);
 }
 
@@ -253,8 +253,8 @@
     auto& used = entry(model);
     m_policy->onRequest(model, now);
     ++used.inUse;
-    if (used.facts.baseModel)
-        ++entry(*used.facts.baseModel).inUse;
+    if (used.spec.baseModel)
+        ++entry(*used.spec.baseModel).inUse;
     return true;
 }
 
@@ -270,8 +270,8 @@
     };
     auto& used = entry(model);
     end(used);
-    if (used.facts.baseModel)
-        end(entry(*used.facts.baseModel));
+    if (used.spec.baseModel)
+        end(entry(*used.spec.baseModel));
 }
 
 // --- Decisions ---
@@ -299,7 +299,7 @@
         if (!mayLoad(known) || known.inUse > 0 || !known.waiters.empty())
             continue;
         auto expected = m_policy->expectedReturn(model);
-        if (expected && now >= expected->earliest - known.facts.loadTime && now < expected->latest)
+        if (expected && now >= expected->earliest - known.spec.loadTime && now < expected->latest)
             known.foreseenUntil = expected->latest;
     }
 }
@@ -321,7 +321,7 @@
 
 bool ResidencyManager::mayLoad(const Entry& known) const
 {
-    return known.row && !known.withdrawn && known.facts.memory.value() > 0;
+    return known.row && !known.withdrawn && known.spec.memory.value() > 0;
 }
 
 // Who waits for an adapter waits for its base model as well.
@@ -334,7 +334,7 @@
     };
     consider(known);
     for (const auto& [model, other] : m_entries)
-        if (other.facts.baseModel == known.facts.model && mayLoad(other))
+        if (other.spec.baseModel == known.spec.model && mayLoad(other))
             consider(other);
     return earliest;
 }
@@ -403,7 +403,7 @@
 {
     std::vector<base::ModelId> adapters;
     for (const auto& [model, known] : m_entries)
-        if (known.facts.baseModel == base && known.state != ResidencyState::Assigned)
+        if (known.spec.baseModel == base && known.state != ResidencyState::Assigned)
             adapters.push_back(model);
     return adapters;
 }
@@ -415,14 +415,14 @@
 
 IdleModel ResidencyManager::idleModel(const Entry& known) const
 {
-    return { known.facts.model, known.idleSince, known.facts.loadTime, memoryOf(known) };
+    return { known.spec.model, known.idleSince, known.spec.loadTime, memoryOf(known) };
 }
 
 std::vector<ResidencyManager::Victim> ResidencyManager::victims(const Entry& wanted, base::Instant now) const
 {
     std::vector<Victim> candidates;
     for (const auto& [model, known] : m_entries) {
-        if (!evictable(known) || model == wanted.facts.baseModel || earliestWaiter(known))
+        if (!evictable(known) || model == wanted.spec.baseModel || earliestWaiter(known))
             continue;
         Victim victim { model, memoryOf(known), m_policy->evictionCost(idleModel(known), now) };
         bool allIdle = true;
@@ -442,13 +442,13 @@
 {
     for (const auto& model : byEarliestWish(ResidencyState::Reserved)) {
         auto& wanted = entry(model);
-        if (wanted.facts.baseModel && !usable(*wanted.facts.baseModel))
+        if (wanted.spec.baseModel && !usable(*wanted.spec.baseModel))
             continue;
         if (!permission(model, *wantedBy(wanted)))
             continue;
-        wanted.order = give(OrderKind::Load, model, 2 * wanted.facts.loadTime + m_settings.orderTimeout, now, orders);
+        wanted.order = give(OrderKind::Load, model, 2 * wanted.spec.loadTime + m_settings.orderTimeout, now, orders);
         wanted.state = ResidencyState::Loading;
-        wanted.loadExpectedEnd = now + wanted.facts.loadTime;
+        wanted.loadExpectedEnd = now + wanted.spec.loadTime;
         // Also an order that is answered may have been sent twice on the way.
         wanted.lateLoadUntil = std::max(wanted.lateLoadUntil, now + m_settings.lateOrderHorizon);
     }
@@ -458,7 +458,7 @@
 {
     if (known.order || known.state != ResidencyState::Loaded)
         return;
-    known.order = give(OrderKind::Unload, known.facts.model, m_settings.orderTimeout, now, orders);
+    known.order = give(OrderKind::Unload, known.spec.model, m_settings.orderTimeout, now, orders);
     known.state = ResidencyState::Unloading;
 }
 
@@ -545,7 +545,7 @@
     const auto* known = find(model);
     if (!known || known->state != ResidencyState::Loaded || !known->row || known->withdrawn)
         return false;
-    return !known->facts.baseModel || usable(*known->facts.baseModel);
+    return !known->spec.baseModel || usable(*known->spec.baseModel);
 }
 
 base::Bytes ResidencyManager::taken() const
@@ -569,11 +569,11 @@
 std::optional<base::Instant> ResidencyManager::expectedLoadEnd(const base::ModelId& model, base::Instant now) const
 {
     const auto* known = find(model);
-    if (!known || !mayLoad(*known) || known->facts.memory > m_settings.capacity)
+    if (!known || !mayLoad(*known) || known->spec.memory > m_settings.capacity)
         return std::nullopt;
     auto begin = now;
-    if (known->facts.baseModel) {
-        auto baseEnd = expectedLoadEnd(*known->facts.baseModel, now);
+    if (known->spec.baseModel) {
+        auto baseEnd = expectedLoadEnd(*known->spec.baseModel, now);
         if (!baseEnd)
             return std::nullopt;
         begin = std::max(begin, *baseEnd);
@@ -582,12 +582,12 @@
         return begin;
     // A load beyond its expected time is expected to take a quarter of it more.
     if (known->state == ResidencyState::Loading)
-        return std::max(begin, known->loadExpectedEnd > now ? known->loadExpectedEnd : now + known->facts.loadTime / 4);
+        return std::max(begin, known->loadExpectedEnd > now ? known->loadExpectedEnd : now + known->spec.loadTime / 4);
     if (!m_settings.fencing && predecessorMayAct())
         begin = std::max(begin, m_predecessorUntil);
     if (!m_settings.fencing && known->state == ResidencyState::Unknown)
         begin = std::max({ begin, known->lateLoadUntil, known->lateUnloadUntil });
-    return begin + known->facts.loadTime;
+    return begin + known->spec.loadTime;
 }
 
 } // namespace toucanstep::placement
--- a/packages/placement/test/EngineModel.h
+++ b/packages/placement/test/EngineModel.h
@@ -33,7 +33,7 @@
     {
     }
 
-    void addModel(const ModelFacts& facts) { m_facts[facts.model] = facts; }
+    void addModel(const ModelSpec& spec) { m_specs[spec.model] = spec; }
 
     // Carries the orders of one sidecar process, `sender`; answers go to the manager of the process that is alive.
     void give(int sender, const ResidencyOrder& order, const Fate& fate, base::Instant now)
@@ -86,7 +86,7 @@
     {
         base::Bytes sum;
         for (const auto& [model, ready] : m_resident)
-            sum += m_facts.at(model).memory;
+            sum += m_specs.at(model).memory;
         return sum;
     }
 
@@ -151,7 +151,7 @@
             ++loadsBegun;
             overcommitted = overcommitted || used() > m_capacity;
         }
-        schedule(m_now + m_facts.at(model).loadTime, [this, id, model, incarnation = m_incarnation] {
+        schedule(m_now + m_specs.at(model).loadTime, [this, id, model, incarnation = m_incarnation] {
             auto place = m_resident.find(model);
             if (incarnation != m_incarnation || place == m_resident.end())
                 return answer(id, OrderOutcome::Rejected);
@@ -165,7 +165,7 @@
     int m_incarnation = 0;
     base::Instant m_now;
     std::pair<base::Epoch, OrderId> m_highestFence;
-    std::map<base::ModelId, ModelFacts> m_facts;
+    std::map<base::ModelId, ModelSpec> m_specs;
     // Resident models; true once ready.
     std::map<base::ModelId, bool> m_resident;
     std::map<int64_t, Flight> m_flights;
--- a/packages/placement/test/ResidencyManagerTest.cpp
+++ b/packages/placement/test/ResidencyManagerTest.cpp
@@ -15,7 +15,7 @@
 
 base::Instant at(base::Duration sinceStart) { return base::Instant(std::chrono::hours(1)) + sinceStart; }
 
-std::vector<ModelFacts> someModels()
+std::vector<ModelSpec> someModels()
 {
     return { { base::ModelId("a"), base::Bytes(60), 2s, std::nullopt }, { base::ModelId("b"), base::Bytes(50), 3s, std::nullopt },
         { base::ModelId("c"), base::Bytes(30), 1s, std::nullopt }, { base::ModelId("d"), base::Bytes(90), 1s, std::nullopt }, { base::ModelId("a-x"), base::Bytes(10), 500ms, base::ModelId("a") } };
@@ -35,8 +35,8 @@
         : engine(capacity, engineFences)
         , m_settings(settings)
     {
-        for (const auto& facts : someModels())
-            engine.addModel(facts);
+        for (const auto& spec : someModels())
+            engine.addModel(spec);
         engine.onAnswer = [this](int sender, OrderId id, OrderOutcome outcome, base::Instant now) {
             if (sender != m_process)
                 return;
@@ -47,8 +47,8 @@
             if (sender == m_process)
                 manager->onIndex(index, now);
         };
-        for (const auto& facts : someModels())
-            rows.insert(facts.model);
+        for (const auto& spec : someModels())
+            rows.insert(spec.model);
         start();
     }
 
@@ -58,7 +58,7 @@
         ++m_process;
         m_loading.clear();
         manager = std::make_unique<ResidencyManager>(m_settings, makeLearntKeepAlive({ .gapsBeforeTrust = 2, .regularity = 0.8 }), base::Epoch(m_process), now);
-        manager->setFacts(someModels());
+        manager->setModelSpecs(someModels());
         for (const auto& model : rows)
             manager->grantRow(model, base::Epoch(1));
     }
@@ -80,8 +80,8 @@
                 unloadedInUse = unloadedInUse || inUse[order.model] > 0;
             engine.give(m_process, order, nextFate(), now);
         }
-        for (const auto& facts : someModels())
-            releaseIfPossible(facts.model);
+        for (const auto& spec : someModels())
+            releaseIfPossible(spec.model);
     }
 
     // Steps on until the model can be used or the time is over.
--- a/packages/sidecar/src/SidecarCore.cpp
+++ b/packages/sidecar/src/SidecarCore.cpp
@@ -177,16 +177,16 @@
         m_residency = std::make_unique<placement::ResidencyManager>(settings, makeKeepAlive(m_options), base::Epoch(m_incarnation), now());
     }
     if (m_residency) {
-        std::vector<placement::ModelFacts> facts;
+        std::vector<placement::ModelSpec> specs;
         for (const config::Model& model : m_configuration->models) {
             if (model.pool != m_pool->id)
                 continue;
             auto tier = m_cachedOnDisk.contains(model.id) ? placement::CheckpointTier::Disk : placement::CheckpointTier::Remote;
-            facts.push_back({ model.id, model.memory, placement::loadTime(model.checkpoint, tier, m_configuration->loads), model.baseModel });
+            specs.push_back({ model.id, model.memory, placement::loadTime(model.checkpoint, tier, m_configuration->loads), model.baseModel });
             if (m_options.placement == PlacementMode::OnDemand)
                 m_residency->grantRow(model.id, base::Epoch(m_incarnation));
         }
-        m_residency->setFacts(std::move(facts));
+        m_residency->setModelSpecs(std::move(specs));
     }
     // Queued requests of keys that are no longer in the text are refused; running answers finish.
     std::set<base::KeyFingerprint> withdrawn;
