--- a/bench/keepalive_replay.cpp
+++ b/bench/keepalive_replay.cpp
@@ -381,7 +381,7 @@
             describe("learnt", price, Replay(fleet, trace, [&] { return makeLearntKeepAlive({ .idleSecondsPerWaitSecond = price }); }).run()));
     for (auto price : { 1.0, 2.0, 4.0, 8.0, 16.0, 32.0 })
         report["runs"].push_back(describe("learnt_without_foresight", price,
-            Replay(fleet, trace, [&] { return makeLearntKeepAlive({ .idleSecondsPerWaitSecond = price, .regularity = 0 }); }).run()));
+            Replay(fleet, trace, [&] { return makeLearntKeepAlive({ .idleSecondsPerWaitSecond = price, .maximumRelativeDeviation = 0 }); }).run()));
     std::cout << report.dump(1) << "\n";
     return 0;
 }
--- a/packages/placement/include/toucanstep/placement/KeepAlivePolicy.h
+++ b/packages/placement/include/toucanstep/placement/KeepAlivePolicy.h
@@ -51,7 +51,7 @@
     double decay = 0.97;
     base::Duration longest = std::chrono::minutes(30);
     // Gaps are alike if their standard deviation is at most this part of their mean; 0 foresees nothing.
-    double regularity = 0.05;
+    double maximumRelativeDeviation = 0.05;
 };
 
 // Keeps the model for the time that would have cost least over its own past idle gaps; ski rental while there are few.
--- a/packages/placement/src/KeepAlivePolicy.cpp
+++ b/packages/placement/src/KeepAlivePolicy.cpp
@@ -178,7 +178,7 @@
         auto deviation = known.spread.deviation();
         auto margin = std::max(deviation, leastDeviation);
         // A return that comes sooner than the load takes can't be prepared for.
-        if (deviation > m_settings.regularity * mean || mean < 2 * base::toSeconds(known.loadTime))
+        if (deviation > m_settings.maximumRelativeDeviation * mean || mean < 2 * base::toSeconds(known.loadTime))
             return std::nullopt;
         auto earliest = *known.idleSince + fromSeconds(mean - deviationsBefore * margin);
         return ExpectedReturn { earliest, *known.idleSince + fromSeconds(mean + deviationsAfter * margin) };
--- a/packages/placement/test/ResidencyManagerTest.cpp
+++ b/packages/placement/test/ResidencyManagerTest.cpp
@@ -57,7 +57,7 @@
     {
         ++m_process;
         m_loading.clear();
-        manager = std::make_unique<ResidencyManager>(m_settings, makeLearntKeepAlive({ .gapsBeforeTrust = 2, .regularity = 0.8 }), base::Epoch(m_process), now);
+        manager = std::make_unique<ResidencyManager>(m_settings, makeLearntKeepAlive({ .gapsBeforeTrust = 2, .maximumRelativeDeviation = 0.8 }), base::Epoch(m_process), now);
         manager->setModelSpecs(someModels());
         for (const auto& model : rows)
             manager->grantRow(model, base::Epoch(1));
