--- a/packages/placement/include/toucanstep/placement/ResidencyManager.h
+++ b/packages/placement/include/toucanstep/placement/ResidencyManager.h
@@ -138,7 +138,7 @@
     void dropRow(const base::ModelId&);
     // When the model can be used if nothing fails; nothing without a row, or if it can never fit.
     std::optional<base::Instant> expectedLoadEnd(const base::ModelId&, base::Instant now) const;
-    base::Bytes taken() const;
+    base::Bytes reservedMemory() const;
     base::Bytes capacity() const { return m_settings.capacity; }
     std::vector<base::ModelId> loaded() const;
     // Whether no index can be trusted yet, because orders of an earlier sidecar process may still land.
--- a/packages/placement/src/ResidencyManager.cpp
+++ b/packages/placement/src/ResidencyManager.cpp
@@ -361,7 +361,7 @@
     base::Bytes promised;
     for (const auto& model : byEarliestWish(ResidencyState::Assigned)) {
         auto& wanted = entry(model);
-        auto free = m_settings.capacity - taken() - promised;
+        auto free = m_settings.capacity - reservedMemory() - promised;
         auto memory = memoryOf(wanted);
         if (free >= memory) {
             wanted.state = ResidencyState::Reserved;
@@ -548,7 +548,7 @@
     return !known->spec.baseModel || usable(*known->spec.baseModel);
 }
 
-base::Bytes ResidencyManager::taken() const
+base::Bytes ResidencyManager::reservedMemory() const
 {
     base::Bytes sum;
     for (const auto& [model, known] : m_entries)
--- a/packages/placement/test/ResidencyManagerTest.cpp
+++ b/packages/placement/test/ResidencyManagerTest.cpp
@@ -206,7 +206,7 @@
         RC_ASSERT(!host.doubled);
         RC_ASSERT(!host.unloadedInUse);
         RC_ASSERT(!host.loadedWithoutRow());
-        RC_ASSERT(host.manager->predecessorMayAct() || host.engine.used() <= host.manager->taken());
+        RC_ASSERT(host.manager->predecessorMayAct() || host.engine.used() <= host.manager->reservedMemory());
     }
 }
 
@@ -339,7 +339,7 @@
     CHECK_TRUE(host.manager->usable(a));
     host.crashEngine();
     CHECK_FALSE(host.manager->usable(a));
-    CHECK_EQUAL(60, host.manager->taken().value());
+    CHECK_EQUAL(60, host.manager->reservedMemory().value());
     host.settle(10s);
     CHECK_TRUE(host.manager->usable(a));
     CHECK_EQUAL(2, host.engine.loadsBegun);
--- a/packages/sidecar/src/SidecarCore.cpp
+++ b/packages/sidecar/src/SidecarCore.cpp
@@ -895,7 +895,7 @@
         { "crashes", m_crashes },
     };
     if (m_residency) {
-        status["memory_taken"] = m_residency->taken().value();
+        status["memory_taken"] = m_residency->reservedMemory().value();
         status["memory_capacity"] = m_residency->capacity().value();
         nlohmann::json loaded = nlohmann::json::array();
         for (const base::ModelId& model : m_residency->loaded())
