--- a/packages/placement/include/toucanstep/placement/Checkpoints.h
+++ b/packages/placement/include/toucanstep/placement/Checkpoints.h
@@ -1,4 +1,4 @@
-// Where a checkpoint lies, and how long a load from there takes.
+// Storage tiers of model checkpoints and the expected load time from each.
 
 #pragma once
 
@@ -8,14 +8,14 @@
 
 namespace toucanstep::placement {
 
-// Fastest first.
+// Ordered from fastest to slowest.
 enum class CheckpointTier {
     Memory,
     Disk,
     Remote,
 };
 
-// Bytes over the tier's speed; zero where the speed is not set.
+// Checkpoint size divided by the tier's bandwidth; zero if the bandwidth is not configured.
 base::Duration loadTime(base::Bytes checkpoint, CheckpointTier, const config::LoadLimits&);
 
 } // namespace toucanstep::placement
--- a/packages/placement/include/toucanstep/placement/KeepAlivePolicy.h
+++ b/packages/placement/include/toucanstep/placement/KeepAlivePolicy.h
@@ -1,4 +1,4 @@
-// How long an idle model stays loaded, and which idle model goes first when memory is short.
+// Policies that decide how long an idle model stays loaded and which idle model is evicted first under memory pressure.
 
 #pragma once
 
@@ -10,19 +10,19 @@
 
 namespace toucanstep::placement {
 
-// An idle loaded model.
+// A loaded model without running requests.
 struct IdleModel {
     base::ModelId model;
     base::Instant idleSince;
-    // Expected time of loading it again from where its checkpoint lies.
+    // Expected time to reload the model from the tier that holds its checkpoint.
     base::Duration loadTime {};
     base::Bytes memory;
 };
 
-// When an idle model's next request is foreseen.
-struct ExpectedReturn {
+// The time window in which an idle model's next request is predicted.
+struct PredictedRequest {
     base::Instant earliest;
-    // Past this point the foresight was wrong.
+    // If no request has arrived by this time, the prediction was wrong.
     base::Instant latest;
 };
 
@@ -31,32 +31,34 @@
     virtual ~KeepAlivePolicy() = default;
     // A request for the model arrived, whether it is loaded or not.
     virtual void onRequest(const base::ModelId&, base::Instant now) = 0;
-    // The model's last request ended. Said again while it stays idle it changes nothing.
+    // The model's last request ended. Further calls while the model stays idle have no effect.
     virtual void onIdle(const IdleModel&) = 0;
     virtual void forget(const base::ModelId&) = 0;
-    // When it is to be unloaded if no request comes before.
+    // When the model should be unloaded if no request arrives earlier.
     virtual base::Instant keepUntil(const IdleModel&) const = 0;
-    // Set for a model whose idle gaps are so alike that loading it shortly before its next request pays.
-    virtual std::optional<ExpectedReturn> expectedReturn(const base::ModelId&) const = 0;
-    // Under memory pressure the idle model with the least cost goes first. Comparable only within one policy.
+    // Set only for a model whose idle gaps are regular enough that preloading it for its next request pays off.
+    virtual std::optional<PredictedRequest> predictNextRequest(const base::ModelId&) const = 0;
+    // Under memory pressure the idle model with the lowest cost is evicted first. Costs of different policies are not
+    // comparable.
     virtual double evictionCost(const IdleModel&, base::Instant now) const = 0;
 };
 
 struct LearntKeepAliveSettings {
-    // Idle seconds that are worth one second of a caller's waiting for a load.
+    // How many idle seconds cost as much as one second of a caller waiting for a load.
     double idleSecondsPerWaitSecond = 4;
-    // Gaps seen before the model's own history decides; ski rental until then.
-    int64_t gapsBeforeTrust = 8;
-    // Weight of an older gap against the next newer one.
+    // Idle gaps observed before the model's own history is used; until then the policy follows the ski-rental rule.
+    int64_t minimumGapSamples = 8;
+    // Exponential decay: the weight of a gap relative to the next newer one.
     double decay = 0.97;
-    base::Duration longest = std::chrono::minutes(30);
-    // Gaps are alike if their standard deviation is at most this part of their mean; 0 foresees nothing.
+    base::Duration maximumKeepAlive = std::chrono::minutes(30);
+    // Gaps count as regular if their standard deviation is at most this fraction of their mean; 0 disables prediction.
     double maximumRelativeDeviation = 0.05;
 };
 
-// Keeps the model for the time that would have cost least over its own past idle gaps; ski rental while there are few.
+// Uses the keep-alive time that would have had the lowest cost over the model's past idle gaps; falls back to the ski-rental
+// rule while there are too few of them.
 std::unique_ptr<KeepAlivePolicy> makeLearntKeepAlive(LearntKeepAliveSettings);
-// Baseline: a fixed time, and least recently used goes first.
+// Baseline: a fixed keep-alive time and LRU eviction.
 std::unique_ptr<KeepAlivePolicy> makeFixedKeepAlive(base::Duration);
 
 } // namespace toucanstep::placement
--- a/packages/placement/include/toucanstep/placement/LoadPermits.h
+++ b/packages/placement/include/toucanstep/placement/LoadPermits.h
@@ -1,8 +1,8 @@
-// Permits to load from the weight store, so that it is not driven beyond its full speed.
+// Limits concurrent loads from the weight store, so that they don't exceed its bandwidth.
 //
-// A LoadPermits table lies at one gateway, the permits' home. Sidecars ask it before a load. The earliest waiting deadline
-// goes first, the greater weight among equal ones. Permits are soft: one is lent until a point of time and then counts as
-// given back, so a borrower that died takes nothing for long. FallbackLoadLimiter stands in while the home can't be reached.
+// One gateway, the home of the permits, keeps the LoadPermits table; sidecars request a permit from it before each load.
+// Waiting requests are ordered by earliest deadline, then by greater weight. A permit is a lease that expires, so a borrower
+// that crashed blocks it only for a limited time. Sidecars use FallbackLoadLimiter while that gateway is unreachable.
 
 #pragma once
 
@@ -36,33 +36,33 @@
     base::UpstreamId borrower;
     base::ModelId model;
     PermitKind kind = PermitKind::Model;
-    // Counts as given back after this point.
+    // Expiry time of the lease.
     base::Instant until;
 };
 
 struct PermitSettings {
     int64_t models = 4;
     int64_t adapters = 30;
-    // A permit is lent for this many percent of the expected load time, and at least for `shortestLoan`.
-    int64_t loanPercent = 300;
-    base::Duration shortestLoan = std::chrono::seconds(5);
-    // A request that was not repeated for this long is forgotten.
-    base::Duration askAgainWithin = std::chrono::seconds(3);
+    // Lease duration in percent of the expected load time; never shorter than `minimumLease`.
+    int64_t leasePercent = 300;
+    base::Duration minimumLease = std::chrono::seconds(5);
+    // A waiting request expires if it is not repeated within this time.
+    base::Duration requestExpiry = std::chrono::seconds(3);
 };
 
 class LoadPermits {
 public:
     explicit LoadPermits(PermitSettings);
-    // Asks, or asks again with a newer deadline; one request for each borrower and model. A permit that is already lent
-    // to it is returned again, so a lost answer costs nothing.
+    // Requests a permit, or repeats the request with an updated deadline; there is one request per borrower and model.
+    // Idempotent: a permit already leased to the borrower is returned again, so a lost response leaks no permit.
     std::optional<PermitLease> requestPermit(const PermitRequest&, base::Instant now);
-    // Nobody waits any more.
+    // Cancels a waiting request that no caller needs any more.
     void withdraw(const base::UpstreamId&, const base::ModelId&);
     void release(PermitId);
-    // Lends what is free to the first in order, and returns what was lent by this call.
+    // Leases free permits to the waiting requests in order and returns the leases granted by this call.
     std::vector<PermitLease> tick(base::Instant now);
-    int64_t lent(PermitKind, base::Instant now) const;
-    // When a permit is expected for this request if it were asked for now.
+    int64_t leasedCount(PermitKind, base::Instant now) const;
+    // Estimates when this request would get a permit if it were made now.
     base::Instant expectedAt(const PermitRequest&, base::Instant now) const;
 
 private:
@@ -73,31 +73,32 @@
     };
     struct Waiting {
         PermitRequest request;
-        base::Instant asked;
+        base::Instant lastRequested;
     };
     int64_t limit(PermitKind) const;
     void expire(base::Instant now);
-    const PermitLease* findLent(const Key&) const;
+    const PermitLease* findLease(const Key&) const;
     static bool before(const PermitRequest&, const PermitRequest&);
 
     PermitSettings m_settings;
     std::map<Key, Waiting> m_waiting;
-    std::map<PermitId, PermitLease> m_lent;
+    std::map<PermitId, PermitLease> m_leases;
     std::map<PermitId, base::Instant> m_expectedEnd;
-    PermitId m_last;
+    PermitId m_lastId;
 };
 
 struct FallbackLoadLimiterSettings {
     PermitSettings fleet;
-    // Sidecars that share the store, as last heard.
+    // Last known number of sidecars that share the store.
     int64_t sidecars = 1;
 };
 
-// A sidecar's guess at its fair part while the home can't be reached: one load at a time, and the begins of its loads so
-// far apart that all sidecars together, doing the same, begin loads no faster than the store completes them.
+// Estimates a sidecar's fair share of the store while the permits' gateway is unreachable: one load of each kind at a time,
+// with the load starts spaced so that all sidecars together start loads no faster than the store completes them.
 class FallbackLoadLimiter {
 public:
-    // `phase` in 0..999 thousandths delays the first load within the first interval; drawn at random by the caller.
+    // `phaseThousandths`, 0..999, delays the first load by that fraction of the first interval. The caller chooses it at
+    // random.
     FallbackLoadLimiter(FallbackLoadLimiterSettings, int64_t phaseThousandths, base::Instant now);
     bool tryBegin(PermitKind, base::Duration loadTime, base::Instant now);
     void ended(PermitKind);
@@ -105,8 +106,8 @@
 private:
     struct Lane {
         int64_t running = 0;
-        base::Instant next;
-        bool phased = false;
+        base::Instant nextBegin;
+        bool phaseApplied = false;
     };
     FallbackLoadLimiterSettings m_settings;
     int64_t m_phaseThousandths;
--- a/packages/placement/include/toucanstep/placement/ReplicaPlan.h
+++ b/packages/placement/include/toucanstep/placement/ReplicaPlan.h
@@ -1,10 +1,11 @@
-// Decides which upstream holds which replica row of each model and adapter.
+// Plans the assignment of model and adapter replicas to upstreams.
 //
-//     auto intents = planner.plan(input);   // the assignments library turns them into compare-and-swaps
+//     auto intents = planner.plan(input);   // the assignments library applies them by compare-and-swap
 //
-// Every model keeps at least one row, its home, also while it is not loaded. The same inputs in the same order give the
-// same intents. What stands is kept: a row moves only if its holder is gone, leaves, does not fit any more, or by a few
-// rebalancing steps each tick. Any gateway may plan: an intent names the row's revision, so that only one of two wins.
+// Every model has at least one row, its home, even while it is not loaded. Planning is deterministic: the same sequence of
+// inputs yields the same intents. Existing assignments are stable: a row moves only if its holder is gone, is leaving or no
+// longer fits the model, or in one of the few rebalancing steps per tick. Any gateway may plan: each intent carries the
+// expected revision of its row, so only one of two conflicting writes succeeds.
 
 #pragma once
 
@@ -20,17 +21,17 @@
 
 namespace toucanstep::placement {
 
-// Numbers the rows of one model. A model without demand has one row, its home.
+// Identifies a row among those of its model. A model without demand usually has one row, its home.
 using ReplicaSlot = base::StrongNumber<struct ReplicaSlotTag>;
 
 enum class HolderPresence {
     Present,
-    // Not heard, and not proved absent: its rows stay, and others are added in their place meanwhile. An instance that
-    // is not in the input counts as missing.
+    // Unreachable but not confirmed gone: its rows stay, and replacement rows are added meanwhile. An instance that is not
+    // in the input counts as missing.
     Missing,
-    // Finishes what runs and takes nothing new.
+    // Draining: finishes running requests and accepts no new ones.
     Leaving,
-    // Proved absent for long enough that its rows may move; a lapsed lease alone is no proof.
+    // Confirmed absent for long enough that its rows may move. An expired lease alone does not confirm this.
     Gone,
 };
 
@@ -53,31 +54,31 @@
     ReplicaSlot slot;
     base::UpstreamId holder;
     base::Epoch epoch;
-    // The revision that last wrote the row.
+    // The revision of the row's last write.
     base::Revision modified;
-    // The holder was asked to give it back.
+    // The holder was asked to release the row.
     bool releaseAsked = false;
-    // The holder gave it back: the row has no holder.
+    // The holder released the row, which has no holder now.
     bool released = false;
 };
 
-// Demand for one model over all gateways since the last tick. Models without requests may be left out.
+// Demand for one model across all gateways since the last tick. Models without requests may be omitted.
 struct ModelDemand {
     base::ModelId model;
-    // Mean number of requests running or waiting, in thousandths.
+    // Mean number of running and waiting requests, in thousandths.
     int64_t concurrencyThousandths = 0;
-    // Requests refused or late for want of a replica.
+    // Requests that were refused or late because no replica was available.
     int64_t misses = 0;
 };
 
 enum class IntentKind {
-    // Create the row for the named holder.
+    // Create a row for the given holder.
     Add,
-    // Ask the holder to unload and give the row back.
+    // Ask the holder to unload the model and release the row.
     AskRelease,
-    // Give the row, whose holder released it or is gone, to another holder.
+    // Assign a row that was released, or whose holder is gone, to another holder.
     Move,
-    // Delete a row that was released or whose holder is gone.
+    // Delete a row that was released, or whose holder is gone.
     Remove,
 };
 
@@ -88,14 +89,14 @@
     Cold,
     HolderGone,
     HolderLeaving,
-    // Stands in for a row whose holder is missing, leaves or gives it back.
+    // Replaces a row whose holder is missing, is leaving or was asked to release it.
     Replacement,
-    // The adapter's holder does not hold its base model.
+    // The adapter's holder has no usable row of the base model.
     BaseElsewhere,
     ModelDropped,
     DoesNotFit,
     Rebalance,
-    // The holder gave the row back.
+    // The holder released the row.
     Released,
 };
 std::string_view intentReasonName(IntentReason);
@@ -105,9 +106,9 @@
     IntentReason reason = IntentReason::Home;
     base::ModelId model;
     ReplicaSlot slot;
-    // The new holder of Add and Move, the present one otherwise.
+    // The new holder for Add and Move, the current one otherwise.
     base::UpstreamId holder;
-    // The compare-and-swap's condition: the revision of the row as planned upon; 0 for a row that must not exist.
+    // Expected revision for the compare-and-swap, as read by the planner; 0 if the row must not exist.
     base::Revision expected;
     base::Epoch epoch;
 };
@@ -121,15 +122,16 @@
 };
 
 struct PlannerSettings {
-    // Most intents of one tick; the rest follows in the next ones. Homes go first.
+    // Maximum number of intents per tick; the rest follow in later ticks. Models without a usable row are planned first.
     size_t maximumIntents = 256;
     size_t maximumRebalancing = 2;
-    // Rebalancing begins once the fullest instance is assigned this many percent of its memory more than the emptiest.
+    // Rebalancing starts once the memory utilization of the fullest and the emptiest instance of a pool differ by more than
+    // this many percentage points.
     int64_t rebalanceGapPercent = 75;
-    // A replica is wanted for each such part of an instance's slots in use, in percent.
+    // Target slot utilization of a replica, from which the number of replicas follows.
     int64_t targetUtilisationPercent = 70;
-    // Fewer replicas must have been enough for this long before one is taken back.
-    base::Duration takeBackAfter = std::chrono::minutes(5);
+    // A surplus of replicas must last this long before one is released.
+    base::Duration scaleDownDelay = std::chrono::minutes(5);
 };
 
 class Planner {
@@ -139,7 +141,7 @@
 
 private:
     PlannerSettings m_settings;
-    // Since when a model has had more replicas than it needs. A planner that takes over begins anew: it takes back later.
+    // When each model's replica surplus began. Not persisted, so a planner that takes over starts the delay again.
     std::map<base::ModelId, base::Instant> m_surplusSince;
 };
 
--- a/packages/placement/src/KeepAlivePolicy.cpp
+++ b/packages/placement/src/KeepAlivePolicy.cpp
@@ -10,27 +10,27 @@
 
 namespace {
 
-// Idle gaps are counted in buckets whose bounds grow by a quarter, from a tenth of a second to more than an hour.
+// Histogram buckets for idle gaps: upper bounds grow by 25% each, from 0.1 s to about an hour; the last bucket is open-ended.
 constexpr size_t bucketCount = 48;
-constexpr double firstBound = 0.1;
+constexpr double firstBoundSeconds = 0.1;
 constexpr double boundGrowth = 1.25;
 
-double boundOf(size_t bucket) { return firstBound * std::pow(boundGrowth, static_cast<double>(bucket)); }
+double boundOf(size_t bucket) { return firstBoundSeconds * std::pow(boundGrowth, static_cast<double>(bucket)); }
 
 size_t bucketOf(double seconds)
 {
-    if (seconds <= firstBound)
+    if (seconds <= firstBoundSeconds)
         return 0;
-    auto bucket = std::ceil(std::log(seconds / firstBound) / std::log(boundGrowth));
+    auto bucket = std::ceil(std::log(seconds / firstBoundSeconds) / std::log(boundGrowth));
     return std::min(bucketCount - 1, static_cast<size_t>(bucket));
 }
 
 base::Duration fromSeconds(double seconds) { return std::chrono::duration_cast<base::Duration>(std::chrono::duration<double>(seconds)); }
 
-// The idle gaps that one model has had, older ones counting less.
+// Exponentially decayed histogram of one model's idle gaps.
 class GapHistory {
 public:
-    // Returns the bucket to which the callers that follow the gap are added.
+    // Returns the gap's bucket, to which addWait() adds the callers that arrive after the gap.
     size_t add(double seconds, double decay)
     {
         for (auto& bucket : m_buckets) {
@@ -44,14 +44,14 @@
         return index;
     }
 
-    // A further caller that would wait for this part of a load if the model had been unloaded in the gap.
+    // Adds a caller that would have waited for this fraction of a load if the model had been unloaded during the gap.
     void addWait(size_t bucket, double loadTimes) { m_buckets[bucket].waits += loadTimes; }
 
     int64_t count() const { return m_count; }
 
-    // The time to keep the model for which the idle seconds, plus `loadCost` for each load time that callers would have
-    // waited after longer gaps, are least.
-    double cheapestKeep(double loadCost) const
+    // The keep-alive time with the lowest total cost: the idle seconds, plus `loadCost` for each full load time that callers
+    // would have waited after longer gaps.
+    double cheapestKeepAliveSeconds(double loadCost) const
     {
         Bucket longer;
         for (const auto& bucket : m_buckets) {
@@ -74,8 +74,8 @@
         return best;
     }
 
-    // The chance that a gap that has lasted `elapsed` ends within `horizon` more.
-    double chanceOfEnd(double elapsed, double horizon) const
+    // The probability that a gap that has lasted `elapsed` ends within `horizon` more.
+    double probabilityOfEnd(double elapsed, double horizon) const
     {
         double longer = 0;
         double within = 0;
@@ -90,7 +90,7 @@
 private:
     struct Bucket {
         double gaps = 0;
-        // Load times that callers after these gaps would have waited.
+        // Total wait of the callers after these gaps if the model had been unloaded, in load times.
         double waits = 0;
     };
 
@@ -98,8 +98,8 @@
     int64_t m_count = 0;
 };
 
-// Mean and deviation of the idle gaps, older ones counting less.
-class GapSpread {
+// Exponentially decayed mean and standard deviation of idle gaps.
+class GapStatistics {
 public:
     void add(double seconds, double decay)
     {
@@ -118,14 +118,14 @@
     double m_squares = 0;
 };
 
-// Deviations before and after the mean gap within which a return is foreseen.
+// Prediction window around the mean gap, in standard deviations.
 constexpr double deviationsBefore = 2;
 constexpr double deviationsAfter = 4;
-// Gaps that were all the same leave a window nevertheless, in seconds.
-constexpr double leastDeviation = 0.5;
+// Lower bound, so that identical gaps don't yield an empty window.
+constexpr double minimumDeviationSeconds = 0.5;
 
-// Calls returns of a model within this many load times "soon".
-constexpr double soonLoadTimes = 4;
+// evictionCost() estimates the probability of a request within this many load times.
+constexpr double evictionHorizonLoadTimes = 4;
 
 class LearntKeepAlive final : public KeepAlivePolicy {
 public:
@@ -141,11 +141,11 @@
             known.gapEnded = now;
             auto gap = base::toSeconds(now - *known.idleSince);
             known.gapBucket = known.gaps.add(gap, m_settings.decay);
-            known.spread.add(gap, m_settings.decay);
+            known.statistics.add(gap, m_settings.decay);
             known.idleSince.reset();
             return;
         }
-        // Had the gap before ended with a load, this caller would have waited for what is left of it.
+        // If the model had been reloaded at the end of the gap, this caller would have waited for the rest of the load.
         if (known.gapEnded && now < *known.gapEnded + known.loadTime)
             known.gaps.addWait(known.gapBucket, 1 - base::toSeconds(now - *known.gapEnded) / base::toSeconds(known.loadTime));
     }
@@ -163,59 +163,59 @@
     base::Instant keepUntil(const IdleModel& idle) const override
     {
         auto loadCost = m_settings.idleSecondsPerWaitSecond * base::toSeconds(idle.loadTime);
-        const auto* gaps = trusted(idle.model);
-        auto seconds = gaps ? gaps->cheapestKeep(loadCost) : loadCost;
-        return idle.idleSince + std::min(fromSeconds(seconds), m_settings.longest);
+        const auto* gaps = trustedGaps(idle.model);
+        auto seconds = gaps ? gaps->cheapestKeepAliveSeconds(loadCost) : loadCost;
+        return idle.idleSince + std::min(fromSeconds(seconds), m_settings.maximumKeepAlive);
     }
 
-    std::optional<ExpectedReturn> expectedReturn(const base::ModelId& model) const override
+    std::optional<PredictedRequest> predictNextRequest(const base::ModelId& model) const override
     {
         auto place = m_models.find(model);
-        if (!trusted(model) || !place->second.idleSince)
+        if (!trustedGaps(model) || !place->second.idleSince)
             return std::nullopt;
         const auto& known = place->second;
-        auto mean = known.spread.mean();
-        auto deviation = known.spread.deviation();
-        auto margin = std::max(deviation, leastDeviation);
-        // A return that comes sooner than the load takes can't be prepared for.
+        auto mean = known.statistics.mean();
+        auto deviation = known.statistics.deviation();
+        auto margin = std::max(deviation, minimumDeviationSeconds);
+        // A request that arrives sooner than a load takes can't be preloaded for.
         if (deviation > m_settings.maximumRelativeDeviation * mean || mean < 2 * base::toSeconds(known.loadTime))
             return std::nullopt;
         auto earliest = *known.idleSince + fromSeconds(mean - deviationsBefore * margin);
-        return ExpectedReturn { earliest, *known.idleSince + fromSeconds(mean + deviationsAfter * margin) };
+        return PredictedRequest { earliest, *known.idleSince + fromSeconds(mean + deviationsAfter * margin) };
     }
 
-    // The wait that unloading now is expected to cause, for each byte that it frees.
+    // The expected wait caused by unloading the model now, per byte freed.
     double evictionCost(const IdleModel& idle, base::Instant now) const override
     {
         auto load = base::toSeconds(idle.loadTime);
         auto elapsed = base::toSeconds(now - idle.idleSince);
-        auto horizon = soonLoadTimes * load;
-        const auto* gaps = trusted(idle.model);
-        auto chance = gaps ? gaps->chanceOfEnd(elapsed, horizon) : horizon / (horizon + elapsed + 1);
-        return chance * load / static_cast<double>(std::max<int64_t>(1, idle.memory.value()));
+        auto horizon = evictionHorizonLoadTimes * load;
+        const auto* gaps = trustedGaps(idle.model);
+        auto probability = gaps ? gaps->probabilityOfEnd(elapsed, horizon) : horizon / (horizon + elapsed + 1);
+        return probability * load / static_cast<double>(std::max<int64_t>(1, idle.memory.value()));
     }
 
 private:
-    struct Known {
+    struct ModelHistory {
         GapHistory gaps;
-        GapSpread spread;
+        GapStatistics statistics;
         std::optional<base::Instant> idleSince;
         base::Duration loadTime {};
-        // The last gap that ended, while callers that follow it are counted.
+        // End and bucket of the last gap; callers that arrive within one load time after it are counted.
         std::optional<base::Instant> gapEnded;
         size_t gapBucket = 0;
     };
 
-    const GapHistory* trusted(const base::ModelId& model) const
+    const GapHistory* trustedGaps(const base::ModelId& model) const
     {
         auto place = m_models.find(model);
-        if (place == m_models.end() || place->second.gaps.count() < m_settings.gapsBeforeTrust)
+        if (place == m_models.end() || place->second.gaps.count() < m_settings.minimumGapSamples)
             return nullptr;
         return &place->second.gaps;
     }
 
     LearntKeepAliveSettings m_settings;
-    std::map<base::ModelId, Known> m_models;
+    std::map<base::ModelId, ModelHistory> m_models;
 };
 
 class FixedKeepAlive final : public KeepAlivePolicy {
@@ -228,7 +228,7 @@
     void onRequest(const base::ModelId&, base::Instant) override { }
     void onIdle(const IdleModel&) override { }
     void forget(const base::ModelId&) override { }
-    std::optional<ExpectedReturn> expectedReturn(const base::ModelId&) const override { return std::nullopt; }
+    std::optional<PredictedRequest> predictNextRequest(const base::ModelId&) const override { return std::nullopt; }
     base::Instant keepUntil(const IdleModel& idle) const override { return idle.idleSince + m_keep; }
 
     double evictionCost(const IdleModel& idle, base::Instant now) const override { return -base::toSeconds(now - idle.idleSince); }
--- a/packages/placement/src/LoadPermits.cpp
+++ b/packages/placement/src/LoadPermits.cpp
@@ -23,14 +23,14 @@
 
 void LoadPermits::expire(base::Instant now)
 {
-    std::erase_if(m_lent, [&](const auto& entry) { return entry.second.until <= now; });
-    std::erase_if(m_expectedEnd, [&](const auto& entry) { return !m_lent.count(entry.first); });
-    std::erase_if(m_waiting, [&](const auto& entry) { return entry.second.asked + m_settings.askAgainWithin < now; });
+    std::erase_if(m_leases, [&](const auto& entry) { return entry.second.until <= now; });
+    std::erase_if(m_expectedEnd, [&](const auto& entry) { return !m_leases.count(entry.first); });
+    std::erase_if(m_waiting, [&](const auto& entry) { return entry.second.lastRequested + m_settings.requestExpiry < now; });
 }
 
-const PermitLease* LoadPermits::findLent(const Key& key) const
+const PermitLease* LoadPermits::findLease(const Key& key) const
 {
-    for (const auto& [id, permit] : m_lent)
+    for (const auto& [id, permit] : m_leases)
         if (permit.borrower == key.borrower && permit.model == key.model)
             return &permit;
     return nullptr;
@@ -40,12 +40,12 @@
 {
     expire(now);
     Key key { request.borrower, request.model };
-    if (const auto* lent = findLent(key))
-        return *lent;
+    if (const auto* lease = findLease(key))
+        return *lease;
     m_waiting[key] = Waiting { request, now };
     tick(now);
-    const auto* lent = findLent(key);
-    return lent ? std::optional(*lent) : std::nullopt;
+    const auto* lease = findLease(key);
+    return lease ? std::optional(*lease) : std::nullopt;
 }
 
 void LoadPermits::withdraw(const base::UpstreamId& borrower, const base::ModelId& model)
@@ -55,13 +55,13 @@
 
 void LoadPermits::release(PermitId id)
 {
-    m_lent.erase(id);
+    m_leases.erase(id);
     m_expectedEnd.erase(id);
 }
 
-int64_t LoadPermits::lent(PermitKind kind, base::Instant now) const
+int64_t LoadPermits::leasedCount(PermitKind kind, base::Instant now) const
 {
-    return std::count_if(m_lent.begin(), m_lent.end(), [&](const auto& entry) { return entry.second.kind == kind && entry.second.until > now; });
+    return std::count_if(m_leases.begin(), m_leases.end(), [&](const auto& entry) { return entry.second.kind == kind && entry.second.until > now; });
 }
 
 std::vector<PermitLease> LoadPermits::tick(base::Instant now)
@@ -69,7 +69,7 @@
     expire(now);
     std::vector<PermitLease> granted;
     for (auto kind : { PermitKind::Model, PermitKind::Adapter }) {
-        while (lent(kind, now) < limit(kind)) {
+        while (leasedCount(kind, now) < limit(kind)) {
             auto first = m_waiting.end();
             for (auto place = m_waiting.begin(); place != m_waiting.end(); ++place)
                 if (place->second.request.kind == kind && (first == m_waiting.end() || before(place->second.request, first->second.request)))
@@ -77,11 +77,11 @@
             if (first == m_waiting.end())
                 break;
             const auto& request = first->second.request;
-            m_last += PermitId(1);
-            auto loan = std::max(m_settings.shortestLoan, base::Duration(request.loadTime * m_settings.loanPercent / 100));
-            PermitLease permit { m_last, request.borrower, request.model, kind, now + loan };
-            m_expectedEnd[m_last] = now + request.loadTime;
-            m_lent.emplace(m_last, permit);
+            m_lastId += PermitId(1);
+            auto leaseTime = std::max(m_settings.minimumLease, base::Duration(request.loadTime * m_settings.leasePercent / 100));
+            PermitLease permit { m_lastId, request.borrower, request.model, kind, now + leaseTime };
+            m_expectedEnd[m_lastId] = now + request.loadTime;
+            m_leases.emplace(m_lastId, permit);
             granted.push_back(permit);
             m_waiting.erase(first);
         }
@@ -91,9 +91,9 @@
 
 base::Instant LoadPermits::expectedAt(const PermitRequest& request, base::Instant now) const
 {
-    // Replays the loads that run and those ahead over the permits, each ending after its expected time.
+    // Simulates the running loads and the requests ahead of this one, assuming that each takes its expected time.
     std::vector<base::Instant> freeAt;
-    for (const auto& [id, permit] : m_lent)
+    for (const auto& [id, permit] : m_leases)
         if (permit.kind == request.kind && permit.until > now)
             freeAt.push_back(std::max(now, m_expectedEnd.at(id)));
     freeAt.resize(std::max(freeAt.size(), static_cast<size_t>(limit(request.kind))), now);
@@ -111,8 +111,8 @@
     : m_settings(settings)
     , m_phaseThousandths(phaseThousandths)
 {
-    m_models.next = now;
-    m_adapters.next = now;
+    m_models.nextBegin = now;
+    m_adapters.nextBegin = now;
 }
 
 bool FallbackLoadLimiter::tryBegin(PermitKind kind, base::Duration loadTime, base::Instant now)
@@ -120,16 +120,16 @@
     auto isModel = kind == PermitKind::Model;
     auto& lane = isModel ? m_models : m_adapters;
     auto permits = std::max<int64_t>(1, isModel ? m_settings.fleet.models : m_settings.fleet.adapters);
-    // All sidecars together begin `permits` loads in the time that one takes.
+    // All sidecars together start at most `permits` loads during one load time.
     auto spacing = base::Duration(loadTime * std::max(permits, m_settings.sidecars) / permits);
-    if (!lane.phased) {
-        lane.phased = true;
-        lane.next += base::Duration(spacing * m_phaseThousandths / 1000);
+    if (!lane.phaseApplied) {
+        lane.phaseApplied = true;
+        lane.nextBegin += base::Duration(spacing * m_phaseThousandths / 1000);
     }
-    if (lane.running > 0 || now < lane.next)
+    if (lane.running > 0 || now < lane.nextBegin)
         return false;
     ++lane.running;
-    lane.next = now + spacing;
+    lane.nextBegin = now + spacing;
     return true;
 }
 
--- a/packages/placement/src/ReplicaPlan.cpp
+++ b/packages/placement/src/ReplicaPlan.cpp
@@ -11,15 +11,15 @@
 
 namespace {
 
-// Costs of a holder are in thousandths of an instance's memory. A checkpoint that must be fetched outweighs a little more
-// load; a second replica in the same failure domain outweighs both.
+// Placement costs are in thousandths of an instance's memory. Fetching a checkpoint from remote storage costs more than a
+// slightly fuller instance; a second replica in the same failure domain costs more than both.
 constexpr int64_t memoryTierCost = 0;
 constexpr int64_t diskTierCost = 50;
 constexpr int64_t remoteTierCost = 300;
 constexpr int64_t sameDomainCost = 2000;
-constexpr int64_t whole = 1000;
+constexpr int64_t fullScale = 1000;
 
-uint64_t mix(uint64_t value)
+uint64_t mixBits(uint64_t value)
 {
     value ^= value >> 33;
     value *= 0xff51afd7ed558ccdULL;
@@ -28,35 +28,35 @@
     return value ^ (value >> 33);
 }
 
-// Stable over processes and restarts, so that every planner breaks ties alike.
+// Stable across processes and restarts, so that all planners break ties the same way.
 uint64_t stableHash(const std::string& text)
 {
     uint64_t state = 14695981039346656037ULL;
     for (unsigned char byte : text)
         state = (state ^ byte) * 1099511628211ULL;
-    return mix(state);
+    return mixBits(state);
 }
 
-// An instance with what this tick has assigned to it so far.
+// An instance with the memory assigned to it so far, including this tick's intents.
 struct Candidate {
     const EngineInstance* instance = nullptr;
     uint64_t hash = 0;
-    // All rows, and those of models with demand.
+    // Memory of all rows, and of the rows of models with demand.
     int64_t assigned = 0;
     int64_t hot = 0;
     absl::flat_hash_map<std::string_view, CheckpointTier> cached;
 
     int64_t capacity() const { return std::max<int64_t>(1, instance->memory.value()); }
-    int64_t fullness() const { return assigned * whole / capacity(); }
+    int64_t fullness() const { return assigned * fullScale / capacity(); }
 };
 
 struct ModelState {
     const config::Model* model = nullptr;
     std::vector<const ReplicaRow*> rows;
-    // The holders whose rows can be used, with what this tick adds.
+    // Holders of usable rows, including those added in this tick.
     std::vector<size_t> usable;
     std::vector<const ReplicaRow*> usableRows;
-    // Rows without a holder that may be given to another.
+    // Rows that were released or whose holder is gone; they may be assigned to another holder.
     std::vector<const ReplicaRow*> vacant;
     std::set<int64_t> slots;
     std::set<base::UpstreamId> holders;
@@ -81,7 +81,7 @@
 
     std::vector<ReplicaIntent> run()
     {
-        // Models without any usable row come first: a request for them fails.
+        // Models without a usable row come first, because requests for them fail.
         for (bool adapters : { false, true })
             for (auto& state : m_models)
                 if (isAdapter(state) == adapters && state.usable.empty())
@@ -92,8 +92,8 @@
                     planReplicas(state);
         if (m_intents.empty())
             rebalance();
-        for (const auto* row : m_dropped)
-            dropRow(*row);
+        for (const auto* row : m_removedModelRows)
+            releaseRemovedModelRow(*row);
         if (m_intents.size() > m_settings.maximumIntents)
             m_intents.resize(m_settings.maximumIntents);
         return std::move(m_intents);
@@ -144,7 +144,7 @@
 
     ModelState* baseOf(const ModelState& state) { return isAdapter(state) ? findModel(*state.model->baseModel) : nullptr; }
 
-    // An adapter's requests run on its base model's replica: they are that one's demand too.
+    // An adapter's requests run on a replica of its base model, so they count as demand for both.
     void indexDemand()
     {
         for (const auto& demand : m_input.demand) {
@@ -171,7 +171,7 @@
         for (const auto* row : rows) {
             auto* state = findModel(row->model);
             if (!state) {
-                m_dropped.push_back(row);
+                m_removedModelRows.push_back(row);
                 continue;
             }
             state->rows.push_back(row);
@@ -179,7 +179,7 @@
             if (!row->released)
                 state->holders.insert(row->holder);
         }
-        // Base models first: an adapter's row is usable only beside its base model's.
+        // Base models first: an adapter's row is usable only on a holder with a usable row of its base model.
         for (bool adapters : { false, true })
             for (auto& state : m_models)
                 if (isAdapter(state) == adapters)
@@ -241,7 +241,7 @@
 
     void askRelease(const ReplicaRow& row, IntentReason reason) { add(IntentKind::AskRelease, reason, row.model, row.slot, row.holder, &row); }
 
-    void dropRow(const ReplicaRow& row)
+    void releaseRemovedModelRow(const ReplicaRow& row)
     {
         if (row.released || presenceOf(row) == HolderPresence::Gone)
             add(IntentKind::Remove, IntentReason::ModelDropped, row.model, row.slot, row.holder, &row);
@@ -254,7 +254,7 @@
         auto maximum = std::max<int64_t>(1, state.model->maximumReplicas);
         auto minimum = std::clamp<int64_t>(state.model->minimumReplicas, 1, maximum);
         const auto* pool = findPool(state.model->pool);
-        auto perReplica = std::max<int64_t>(1, (pool ? pool->slots : 1) * whole * m_settings.targetUtilisationPercent / 100);
+        auto perReplica = std::max<int64_t>(1, (pool ? pool->slots : 1) * fullScale * m_settings.targetUtilisationPercent / 100);
         auto wanted = (state.concurrencyThousandths + perReplica - 1) / perReplica;
         if (state.misses > 0 && isHot(state))
             wanted = std::max(wanted, static_cast<int64_t>(state.usable.size()) + 1);
@@ -277,8 +277,8 @@
         auto have = static_cast<int64_t>(state.usable.size());
         if (have < wanted)
             fill(state, wanted, isHot(state) ? IntentReason::Demand : IntentReason::MinimumReplicas);
-        takeBackSurplus(state, have - wanted);
-        // What is vacant and not needed goes.
+        releaseSurplus(state, have - wanted);
+        // Removes vacant rows that are not needed.
         for (const auto* row : state.vacant)
             add(IntentKind::Remove, row->released ? IntentReason::Released : IntentReason::HolderGone, row->model, row->slot, row->holder, row);
         state.vacant.clear();
@@ -307,15 +307,15 @@
             while (state.slots.count(slot))
                 ++slot;
             state.slots.insert(slot);
-            auto standsIn = reason == IntentReason::Home && !state.rows.empty();
-            add(IntentKind::Add, standsIn ? IntentReason::Replacement : reason, state.model->id, ReplicaSlot(slot), holder, nullptr);
+            auto isReplacement = reason == IntentReason::Home && !state.rows.empty();
+            add(IntentKind::Add, isReplacement ? IntentReason::Replacement : reason, state.model->id, ReplicaSlot(slot), holder, nullptr);
         }
         state.usable.push_back(index);
         state.holders.insert(holder);
         charge(state, index);
     }
 
-    const std::vector<size_t>& choices(const ModelState& state)
+    const std::vector<size_t>& eligibleCandidates(const ModelState& state)
     {
         if (const auto* base = baseOf(state))
             return base->usable;
@@ -327,14 +327,14 @@
         std::optional<size_t> best;
         std::pair<int64_t, uint64_t> bestCost;
         auto modelHash = stableHash(state.model->id.value());
-        for (auto index : choices(state)) {
+        for (auto index : eligibleCandidates(state)) {
             const auto& candidate = m_candidates[index];
             if (!fits(state, candidate) || state.holders.count(candidate.instance->id))
                 continue;
             auto isCrowded = candidate.hot + state.model->memory.value() > candidate.capacity();
             if (needsRoom && isCrowded)
                 continue;
-            std::pair cost(holderCost(state, candidate), mix(modelHash ^ candidate.hash));
+            std::pair cost(holderCost(state, candidate), mixBits(modelHash ^ candidate.hash));
             if (best && bestCost <= cost)
                 continue;
             best = index;
@@ -345,7 +345,7 @@
 
     int64_t holderCost(const ModelState& state, const Candidate& candidate) const
     {
-        auto cost = candidate.fullness() + candidate.hot * whole / candidate.capacity();
+        auto cost = candidate.fullness() + candidate.hot * fullScale / candidate.capacity();
         auto cached = candidate.cached.find(state.model->id.value());
         cost += tierCost(cached == candidate.cached.end() ? CheckpointTier::Remote : cached->second);
         for (auto used : state.usable)
@@ -367,7 +367,7 @@
         return remoteTierCost;
     }
 
-    void takeBackSurplus(const ModelState& state, int64_t surplus)
+    void releaseSurplus(const ModelState& state, int64_t surplus)
     {
         const auto& model = state.model->id;
         if (surplus <= 0) {
@@ -375,9 +375,9 @@
             return;
         }
         auto since = m_surplusSince.try_emplace(model, m_input.now).first->second;
-        if (m_input.now - since < m_settings.takeBackAfter)
+        if (m_input.now - since < m_settings.scaleDownDelay)
             return;
-        // One at a time, from the fullest holder; then the wait begins anew.
+        // Releases one replica at a time, from the fullest holder; then the delay starts again.
         const ReplicaRow* fullest = nullptr;
         int64_t fullness = -1;
         for (size_t index = 0; index < state.usableRows.size(); ++index) {
@@ -392,7 +392,8 @@
         m_surplusSince.erase(model);
     }
 
-    // Moves a few idle homes from the fullest instance to the emptiest, so that a new instance fills without reshuffling.
+    // Moves a few idle models from the fullest instance to the emptiest, so that a new instance fills up without a
+    // complete reassignment.
     void rebalance()
     {
         size_t moves = 0;
@@ -409,9 +410,9 @@
         auto emptiest = *std::min_element(members.begin(), members.end(), byFullness);
         auto fullest = *std::max_element(members.begin(), members.end(), byFullness);
         auto gap = m_candidates[fullest].fullness() - m_candidates[emptiest].fullness();
-        if (gap <= m_settings.rebalanceGapPercent * whole / 100)
+        if (gap <= m_settings.rebalanceGapPercent * fullScale / 100)
             return false;
-        auto* moved = bestToMove(fullest, emptiest, gap);
+        auto* moved = modelToMove(fullest, emptiest, gap);
         if (!moved)
             return false;
         auto used = std::find(moved->usable.begin(), moved->usable.end(), fullest) - moved->usable.begin();
@@ -423,8 +424,8 @@
         return true;
     }
 
-    // The largest idle model without adapters that takes no more than half of the gap with it.
-    ModelState* bestToMove(size_t from, size_t to, int64_t gap)
+    // The largest idle model without adapters whose share of an instance's memory is at most half of the gap.
+    ModelState* modelToMove(size_t from, size_t to, int64_t gap)
     {
         ModelState* best = nullptr;
         for (auto& state : m_models) {
@@ -433,7 +434,7 @@
             const auto& target = m_candidates[to];
             if (!fits(state, target) || state.holders.count(target.instance->id))
                 continue;
-            auto share = state.model->memory.value() * whole / std::min(target.capacity(), m_candidates[from].capacity());
+            auto share = state.model->memory.value() * fullScale / std::min(target.capacity(), m_candidates[from].capacity());
             if (share * 2 <= gap && (!best || state.model->memory > best->model->memory))
                 best = &state;
         }
@@ -448,7 +449,7 @@
     std::map<std::string_view, std::vector<size_t>> m_byPool;
     std::vector<ModelState> m_models;
     absl::flat_hash_map<std::string_view, size_t> m_byModel;
-    std::vector<const ReplicaRow*> m_dropped;
+    std::vector<const ReplicaRow*> m_removedModelRows;
     std::vector<ReplicaIntent> m_intents;
 };
 
--- a/packages/placement/src/ResidencyManager.cpp
+++ b/packages/placement/src/ResidencyManager.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-// Puts a load that is only foreseen behind those that callers wait for.
-constexpr auto behindAllCallers = std::chrono::hours(1);
+// Added to the deadline of a preload, so that it sorts after loads with waiting callers.
+constexpr auto predictedLoadDeadlineOffset = std::chrono::hours(1);
 
 } // namespace
 
@@ -34,7 +34,7 @@
     : m_settings(settings)
     , m_policy(std::move(policy))
     , m_epoch(epoch)
-    , m_predecessorUntil(started + settings.lateOrderHorizon)
+    , m_predecessorOrdersUntil(started + settings.lateOrderHorizon)
 {
 }
 
@@ -51,7 +51,7 @@
     return place == m_entries.end() ? nullptr : &place->second;
 }
 
-// A model of unknown size is taken to fill the whole memory: nothing is loaded beside it until it is gone.
+// A model of unknown size is assumed to fill the whole memory: nothing else is loaded until it is gone.
 base::Bytes ResidencyManager::memoryOf(const Entry& entry) const
 {
     return entry.spec.memory.value() > 0 ? entry.spec.memory : m_settings.capacity;
@@ -64,7 +64,7 @@
         given.emplace(spec.model, &spec);
     for (auto place = m_entries.begin(); place != m_entries.end();) {
         auto& known = place->second;
-        // The size of what may be on the engine must outlive its place in the text.
+        // A model that may still be on the engine keeps its size after its removal from the configuration.
         auto isGone = !given.count(place->first) && known.state == ResidencyState::Assigned && !known.row && known.waiters.empty() && known.inUse == 0;
         if (isGone)
             m_policy->forget(place->first);
@@ -96,17 +96,17 @@
 bool ResidencyManager::mayRelease(const base::ModelId& model) const
 {
     const auto* known = find(model);
-    return !known || (known->state == ResidencyState::Assigned && !predecessorMayAct());
+    return !known || (known->state == ResidencyState::Assigned && !predecessorOrdersMayApply());
 }
 
-bool ResidencyManager::predecessorMayAct() const
+bool ResidencyManager::predecessorOrdersMayApply() const
 {
     if (m_settings.fencing && !m_fenceRaised)
         return true;
-    return !m_lastIndexBegan || *m_lastIndexBegan < m_predecessorUntil;
+    return !m_lastIndexBegan || *m_lastIndexBegan < m_predecessorOrdersUntil;
 }
 
-// --- What the engine says ---
+// --- Engine events ---
 
 void ResidencyManager::onIndex(const EngineIndex& index, base::Instant now)
 {
@@ -133,9 +133,9 @@
     if (!shown) {
         if (known.state == ResidencyState::Assigned || known.state == ResidencyState::Reserved)
             return;
-        // Absent now, and nothing that was ordered before can bring it back: only then is its memory free.
-        auto isProof = readBegan >= known.lateLoadUntil && !predecessorMayAct();
-        known.state = isProof ? ResidencyState::Assigned : ResidencyState::Unknown;
+        // Memory is freed only if the model is absent and no earlier order can still load it.
+        auto provesAbsence = readBegan >= known.lateLoadUntil && !predecessorOrdersMayApply();
+        known.state = provesAbsence ? ResidencyState::Assigned : ResidencyState::Unknown;
         return;
     }
     switch (*shown) {
@@ -151,12 +151,12 @@
         if (readBegan < known.lateUnloadUntil)
             known.state = ResidencyState::Unknown;
         else if (known.state != ResidencyState::Loaded)
-            becomeLoaded(known, now);
+            markLoaded(known, now);
         return;
     }
 }
 
-void ResidencyManager::becomeLoaded(Entry& known, base::Instant now)
+void ResidencyManager::markLoaded(Entry& known, base::Instant now)
 {
     known.state = ResidencyState::Loaded;
     known.idleSince = now;
@@ -180,29 +180,29 @@
     auto pending = place->second;
     m_pending.erase(place);
     if (outcome == OrderOutcome::Done && pending.kind != OrderKind::ReadIndex)
-        fenceOff(pending.sent, now);
+        expireFencedOrders(pending.sent, now);
     if (pending.kind == OrderKind::Load)
         finishLoad(entry(pending.model), outcome, now);
     if (pending.kind == OrderKind::Unload)
         finishUnload(entry(pending.model), outcome, pending.sent, now);
 }
 
-// An engine that honours fencing has taken an order that was sent at `sent`: it refuses all that were sent before.
-void ResidencyManager::fenceOff(base::Instant sent, base::Instant now)
+// An engine that supports fencing and accepted an order sent at `sent` rejects all orders sent before it.
+void ResidencyManager::expireFencedOrders(base::Instant sent, base::Instant now)
 {
     if (!m_settings.fencing)
         return;
     if (!m_fenceRaised) {
         m_fenceRaised = true;
-        m_predecessorUntil = std::min(m_predecessorUntil, now);
+        m_predecessorOrdersUntil = std::min(m_predecessorOrdersUntil, now);
     }
-    auto cut = [&](base::Instant& until) {
+    auto expireIfFenced = [&](base::Instant& until) {
         if (until - m_settings.lateOrderHorizon < sent)
             until = std::min(until, now);
     };
     for (auto& [model, known] : m_entries) {
-        cut(known.lateLoadUntil);
-        cut(known.lateUnloadUntil);
+        expireIfFenced(known.lateLoadUntil);
+        expireIfFenced(known.lateUnloadUntil);
     }
 }
 
@@ -210,10 +210,10 @@
 {
     known.order.reset();
     known.settledAt = now;
-    // Answered by an engine process that has died since.
-    auto isOfDeadEngine = known.state != ResidencyState::Loading;
-    if (outcome == OrderOutcome::Done && !isOfDeadEngine && now >= known.lateUnloadUntil)
-        becomeLoaded(known, now);
+    // The response came from an engine process that has crashed since.
+    auto engineDied = known.state != ResidencyState::Loading;
+    if (outcome == OrderOutcome::Done && !engineDied && now >= known.lateUnloadUntil)
+        markLoaded(known, now);
     else
         known.state = ResidencyState::Unknown;
 }
@@ -227,7 +227,7 @@
     known.state = outcome == OrderOutcome::Done ? ResidencyState::Unloading : ResidencyState::Unknown;
 }
 
-// --- What requests want ---
+// --- Requests ---
 
 void ResidencyManager::addWaiter(const base::ModelId& model, const base::RequestId& request, base::Instant deadline, base::Instant now)
 {
@@ -279,43 +279,44 @@
 std::vector<ResidencyOrder> ResidencyManager::tick(base::Instant now, const LoadPermission& permission)
 {
     Orders orders;
-    foresee(now);
-    cancelUnwanted();
+    predictRequests(now);
+    cancelUnneededReservations();
     raiseFenceIfDue(now, orders);
-    // Until orders of an earlier process can land no longer, what the engine will hold is not known: nothing is ordered.
-    if (!predecessorMayAct()) {
+    // While orders of an earlier process may still take effect, the engine's state is unknown: no loads or unloads are
+    // issued.
+    if (!predecessorOrdersMayApply()) {
         unloadUnneeded(now, orders);
-        reserveWanted(now, orders);
+        reserveMemory(now, orders);
         beginLoads(now, permission, orders);
     }
     readIndexIfDue(now, orders);
     return orders;
 }
 
-void ResidencyManager::foresee(base::Instant now)
+void ResidencyManager::predictRequests(base::Instant now)
 {
     for (auto& [model, known] : m_entries) {
-        known.foreseenUntil.reset();
+        known.predictedUntil.reset();
         if (!mayLoad(known) || known.inUse > 0 || !known.waiters.empty())
             continue;
-        auto expected = m_policy->expectedReturn(model);
+        auto expected = m_policy->predictNextRequest(model);
         if (expected && now >= expected->earliest - known.spec.loadTime && now < expected->latest)
-            known.foreseenUntil = expected->latest;
+            known.predictedUntil = expected->latest;
     }
 }
 
-std::optional<base::Instant> ResidencyManager::wantedBy(const Entry& known) const
+std::optional<base::Instant> ResidencyManager::loadDeadline(const Entry& known) const
 {
     auto earliest = earliestWaiter(known);
-    if (!earliest && known.foreseenUntil)
-        return *known.foreseenUntil + behindAllCallers;
+    if (!earliest && known.predictedUntil)
+        return *known.predictedUntil + predictedLoadDeadlineOffset;
     return earliest;
 }
 
-void ResidencyManager::cancelUnwanted()
+void ResidencyManager::cancelUnneededReservations()
 {
     for (auto& [model, known] : m_entries)
-        if (known.state == ResidencyState::Reserved && (!wantedBy(known) || !mayLoad(known)))
+        if (known.state == ResidencyState::Reserved && (!loadDeadline(known) || !mayLoad(known)))
             known.state = ResidencyState::Assigned;
 }
 
@@ -324,7 +325,7 @@
     return known.row && !known.withdrawn && known.spec.memory.value() > 0;
 }
 
-// Who waits for an adapter waits for its base model as well.
+// Requests that wait for an adapter also wait for its base model.
 std::optional<base::Instant> ResidencyManager::earliestWaiter(const Entry& known) const
 {
     std::optional<base::Instant> earliest;
@@ -339,13 +340,13 @@
     return earliest;
 }
 
-std::vector<base::ModelId> ResidencyManager::byEarliestWish(ResidencyState state) const
+std::vector<base::ModelId> ResidencyManager::byEarliestDeadline(ResidencyState state) const
 {
     std::vector<std::pair<base::Instant, base::ModelId>> order;
     for (const auto& [model, known] : m_entries) {
         if (known.state != state || known.order || !mayLoad(known))
             continue;
-        if (auto deadline = wantedBy(known))
+        if (auto deadline = loadDeadline(known))
             order.emplace_back(*deadline, model);
     }
     std::sort(order.begin(), order.end());
@@ -355,11 +356,11 @@
     return models;
 }
 
-void ResidencyManager::reserveWanted(base::Instant now, Orders& orders)
+void ResidencyManager::reserveMemory(base::Instant now, Orders& orders)
 {
-    // Memory that earlier ones in the order wait for is not given to later ones.
+    // Memory being freed for a model with an earlier deadline is not given to later ones.
     base::Bytes promised;
-    for (const auto& model : byEarliestWish(ResidencyState::Assigned)) {
+    for (const auto& model : byEarliestDeadline(ResidencyState::Assigned)) {
         auto& wanted = entry(model);
         auto free = m_settings.capacity - reservedMemory() - promised;
         auto memory = memoryOf(wanted);
@@ -367,7 +368,7 @@
             wanted.state = ResidencyState::Reserved;
             continue;
         }
-        // What is only foreseen displaces nothing.
+        // A preload for a predicted request evicts nothing.
         if (earliestWaiter(wanted) && makeRoom(wanted, memory - free, now, orders))
             promised += memory;
     }
@@ -375,24 +376,24 @@
 
 bool ResidencyManager::makeRoom(const Entry& wanted, base::Bytes missing, base::Instant now, Orders& orders)
 {
-    base::Bytes coming;
+    base::Bytes freeing;
     for (const auto& [model, known] : m_entries)
         if (known.state == ResidencyState::Unloading)
-            coming += memoryOf(known);
+            freeing += memoryOf(known);
     auto candidates = victims(wanted, now);
-    auto possible = coming;
+    auto possible = freeing;
     for (const auto& victim : candidates)
         possible += victim.memory;
     if (possible < missing)
         return false;
     for (const auto& victim : candidates) {
-        if (coming >= missing)
+        if (freeing >= missing)
             break;
-        coming += victim.memory;
+        freeing += victim.memory;
         auto adapters = residentAdapters(victim.model);
         for (const auto& adapter : adapters)
             unload(entry(adapter), now, orders);
-        // A base model follows its adapters in a later tick, once they are gone.
+        // A base model is unloaded in a later tick, after its adapters are gone.
         if (adapters.empty())
             unload(entry(victim.model), now, orders);
     }
@@ -440,16 +441,16 @@
 
 void ResidencyManager::beginLoads(base::Instant now, const LoadPermission& permission, Orders& orders)
 {
-    for (const auto& model : byEarliestWish(ResidencyState::Reserved)) {
+    for (const auto& model : byEarliestDeadline(ResidencyState::Reserved)) {
         auto& wanted = entry(model);
         if (wanted.spec.baseModel && !usable(*wanted.spec.baseModel))
             continue;
-        if (!permission(model, *wantedBy(wanted)))
+        if (!permission(model, *loadDeadline(wanted)))
             continue;
-        wanted.order = give(OrderKind::Load, model, 2 * wanted.spec.loadTime + m_settings.orderTimeout, now, orders);
+        wanted.order = issueOrder(OrderKind::Load, model, 2 * wanted.spec.loadTime + m_settings.orderTimeout, now, orders);
         wanted.state = ResidencyState::Loading;
         wanted.loadExpectedEnd = now + wanted.spec.loadTime;
-        // Also an order that is answered may have been sent twice on the way.
+        // Even an answered order may have been duplicated on the network.
         wanted.lateLoadUntil = std::max(wanted.lateLoadUntil, now + m_settings.lateOrderHorizon);
     }
 }
@@ -458,7 +459,7 @@
 {
     if (known.order || known.state != ResidencyState::Loaded)
         return;
-    known.order = give(OrderKind::Unload, known.spec.model, m_settings.orderTimeout, now, orders);
+    known.order = issueOrder(OrderKind::Unload, known.spec.model, m_settings.orderTimeout, now, orders);
     known.state = ResidencyState::Unloading;
 }
 
@@ -469,7 +470,7 @@
         auto isUnused = known.state == ResidencyState::Loaded && known.inUse == 0 && residentAdapters(model).empty();
         if (!isUnused)
             continue;
-        auto isIdle = !wantedBy(known) && m_policy->keepUntil(idleModel(known)) <= now;
+        auto isIdle = !loadDeadline(known) && m_policy->keepUntil(idleModel(known)) <= now;
         if (hasNoRow || isIdle)
             unload(known, now, orders);
     }
@@ -484,11 +485,11 @@
 {
     if (!m_settings.fencing || isPending(OrderKind::RaiseFence))
         return;
-    auto mayStillLand = [&](const auto& known) {
+    auto mayStillApply = [&](const auto& known) {
         return known.second.state == ResidencyState::Unknown && !known.second.order && std::max(known.second.lateLoadUntil, known.second.lateUnloadUntil) > now;
     };
-    if (!m_fenceRaised || std::any_of(m_entries.begin(), m_entries.end(), mayStillLand))
-        give(OrderKind::RaiseFence, base::ModelId(), m_settings.orderTimeout, now, orders);
+    if (!m_fenceRaised || std::any_of(m_entries.begin(), m_entries.end(), mayStillApply))
+        issueOrder(OrderKind::RaiseFence, base::ModelId(), m_settings.orderTimeout, now, orders);
 }
 
 bool ResidencyManager::unsettled() const
@@ -498,13 +499,13 @@
         case ResidencyState::Unknown:
         case ResidencyState::Unloading:
         case ResidencyState::Loading:
-            // An order that is under way is settled by its answer.
+            // The response to a pending order will settle the state.
             return !known.second.order;
         default:
             return false;
         }
     };
-    return predecessorMayAct() || std::any_of(m_entries.begin(), m_entries.end(), isUnsettled);
+    return predecessorOrdersMayApply() || std::any_of(m_entries.begin(), m_entries.end(), isUnsettled);
 }
 
 void ResidencyManager::readIndexIfDue(base::Instant now, Orders& orders)
@@ -515,10 +516,10 @@
     if (m_lastIndexAsked && now - *m_lastIndexAsked < interval)
         return;
     m_lastIndexAsked = now;
-    give(OrderKind::ReadIndex, base::ModelId(), m_settings.orderTimeout, now, orders);
+    issueOrder(OrderKind::ReadIndex, base::ModelId(), m_settings.orderTimeout, now, orders);
 }
 
-OrderId ResidencyManager::give(OrderKind kind, const base::ModelId& model, base::Duration allowed, base::Instant now, Orders& orders)
+OrderId ResidencyManager::issueOrder(OrderKind kind, const base::ModelId& model, base::Duration allowed, base::Instant now, Orders& orders)
 {
     m_lastOrder += OrderId(1);
     m_pending.emplace(m_lastOrder, Pending { kind, model, now });
@@ -526,7 +527,7 @@
     return m_lastOrder;
 }
 
-// --- Answers ---
+// --- Queries ---
 
 ResidencyState ResidencyManager::state(const base::ModelId& model) const
 {
@@ -580,11 +581,11 @@
     }
     if (known->state == ResidencyState::Loaded)
         return begin;
-    // A load beyond its expected time is expected to take a quarter of it more.
+    // A load that is past its expected end is assumed to need another quarter of its expected time.
     if (known->state == ResidencyState::Loading)
         return std::max(begin, known->loadExpectedEnd > now ? known->loadExpectedEnd : now + known->spec.loadTime / 4);
-    if (!m_settings.fencing && predecessorMayAct())
-        begin = std::max(begin, m_predecessorUntil);
+    if (!m_settings.fencing && predecessorOrdersMayApply())
+        begin = std::max(begin, m_predecessorOrdersUntil);
     if (!m_settings.fencing && known->state == ResidencyState::Unknown)
         begin = std::max({ begin, known->lateLoadUntil, known->lateUnloadUntil });
     return begin + known->spec.loadTime;
--- a/packages/placement/test/EngineModel.h
+++ b/packages/placement/test/EngineModel.h
@@ -1,7 +1,7 @@
-// An engine behind a network that delays, loses and doubles orders, as an oracle for the residency manager.
+// Simulated engine behind a network that delays, drops and duplicates orders; the test oracle for ResidencyManager.
 //
-// Time moves only by advance(). Each order can take effect at any moment up to `horizon` after it was sent, also after its
-// sender has given up or died.
+// Time advances only through advance(). The test chooses each order's delays, up to `horizon`; an order can take effect
+// after its sender has timed out or crashed.
 
 #pragma once
 
@@ -16,12 +16,12 @@
 
 using namespace std::chrono_literals;
 
-// What happens to one order on its way. Delays from its sending; none for a copy that is lost.
-struct Fate {
-    std::optional<base::Duration> lands;
-    std::optional<base::Duration> duplicateLands;
+// How the network delivers one order. Delays count from sending; a copy without a delay is lost.
+struct Delivery {
+    std::optional<base::Duration> firstDelay;
+    std::optional<base::Duration> duplicateDelay;
     bool answerLost = false;
-    // Time that an index takes to arrive after it was read.
+    // Delay between reading an index and its arrival.
     base::Duration indexDelay {};
 };
 
@@ -35,19 +35,19 @@
 
     void addModel(const ModelSpec& spec) { m_specs[spec.model] = spec; }
 
-    // Carries the orders of one sidecar process, `sender`; answers go to the manager of the process that is alive.
-    void give(int sender, const ResidencyOrder& order, const Fate& fate, base::Instant now)
+    // Sends an order of the sidecar process `sender`, which is passed on to the callbacks with the answer.
+    void send(int sender, const ResidencyOrder& order, const Delivery& delivery, base::Instant now)
     {
-        Flight flight { sender, order, now, fate.answerLost, fate.indexDelay };
-        m_flights[++m_lastFlight] = flight;
-        if (fate.lands)
-            schedule(now + *fate.lands, [this, id = m_lastFlight] { land(id, true); });
-        if (fate.duplicateLands)
-            schedule(now + *fate.duplicateLands, [this, id = m_lastFlight] { land(id, false); });
-        schedule(order.deadline, [this, id = m_lastFlight] { answer(id, OrderOutcome::TimedOut); });
+        InFlightOrder inFlight { sender, order, now, delivery.answerLost, delivery.indexDelay };
+        m_inFlight[++m_lastId] = inFlight;
+        if (delivery.firstDelay)
+            schedule(now + *delivery.firstDelay, [this, id = m_lastId] { deliver(id, true); });
+        if (delivery.duplicateDelay)
+            schedule(now + *delivery.duplicateDelay, [this, id = m_lastId] { deliver(id, false); });
+        schedule(order.deadline, [this, id = m_lastId] { answer(id, OrderOutcome::TimedOut); });
     }
 
-    // Runs what is due up to `target`.
+    // Runs all events due up to `target`.
     void advance(base::Instant target)
     {
         while (!m_events.empty() && m_events.begin()->first <= target) {
@@ -96,7 +96,7 @@
     int loadsBegun = 0;
 
 private:
-    struct Flight {
+    struct InFlightOrder {
         int sender = 0;
         ResidencyOrder order;
         base::Instant sent;
@@ -109,39 +109,39 @@
 
     void answer(int64_t id, OrderOutcome outcome)
     {
-        auto& flight = m_flights[id];
-        if (flight.answered || (flight.answerLost && outcome != OrderOutcome::TimedOut))
+        auto& inFlight = m_inFlight[id];
+        if (inFlight.answered || (inFlight.answerLost && outcome != OrderOutcome::TimedOut))
             return;
-        flight.answered = true;
+        inFlight.answered = true;
         if (onAnswer)
-            onAnswer(flight.sender, flight.order.id, outcome, m_now);
+            onAnswer(inFlight.sender, inFlight.order.id, outcome, m_now);
     }
 
-    void land(int64_t id, bool isFirst)
+    void deliver(int64_t id, bool isFirst)
     {
-        const auto flight = m_flights[id];
-        if (flight.order.kind == OrderKind::ReadIndex) {
+        const auto inFlight = m_inFlight[id];
+        if (inFlight.order.kind == OrderKind::ReadIndex) {
             if (isFirst)
-                schedule(m_now + flight.indexDelay, [this, id, read = index()] { deliverIndex(id, read); });
+                schedule(m_now + inFlight.indexDelay, [this, id, read = index()] { deliverIndex(id, read); });
             return;
         }
-        std::pair fence(flight.order.epoch, flight.order.id);
+        std::pair fence(inFlight.order.epoch, inFlight.order.id);
         if (m_fencing && fence < m_highestFence)
             return answer(id, OrderOutcome::Rejected);
         m_highestFence = std::max(m_highestFence, fence);
-        if (flight.order.kind == OrderKind::Load)
-            return load(id, flight.order.model);
-        if (flight.order.kind == OrderKind::Unload)
-            m_resident.erase(flight.order.model);
+        if (inFlight.order.kind == OrderKind::Load)
+            return load(id, inFlight.order.model);
+        if (inFlight.order.kind == OrderKind::Unload)
+            m_resident.erase(inFlight.order.model);
         answer(id, OrderOutcome::Done);
     }
 
     void deliverIndex(int64_t id, const EngineIndex& read)
     {
-        const auto& flight = m_flights[id];
-        if (flight.answered || flight.answerLost || !onIndex)
+        const auto& inFlight = m_inFlight[id];
+        if (inFlight.answered || inFlight.answerLost || !onIndex)
             return;
-        onIndex(flight.sender, read, m_now);
+        onIndex(inFlight.sender, read, m_now);
         answer(id, OrderOutcome::Done);
     }
 
@@ -166,10 +166,10 @@
     base::Instant m_now;
     std::pair<base::Epoch, OrderId> m_highestFence;
     std::map<base::ModelId, ModelSpec> m_specs;
-    // Resident models; true once ready.
+    // Resident models; the value is true once the model is ready.
     std::map<base::ModelId, bool> m_resident;
-    std::map<int64_t, Flight> m_flights;
-    int64_t m_lastFlight = 0;
+    std::map<int64_t, InFlightOrder> m_inFlight;
+    int64_t m_lastId = 0;
     std::multimap<base::Instant, std::function<void()>> m_events;
 };
 
--- a/packages/placement/test/KeepAlivePolicyTest.cpp
+++ b/packages/placement/test/KeepAlivePolicyTest.cpp
@@ -20,7 +20,7 @@
     std::unique_ptr<KeepAlivePolicy> policy = makeLearntKeepAlive({ .idleSecondsPerWaitSecond = 4 });
     base::Instant now = at(0s);
 
-    void haveGap(base::Duration gap)
+    void recordGap(base::Duration gap)
     {
         policy->onIdle(idleSince(now));
         now += gap;
@@ -28,7 +28,7 @@
     }
 };
 
-TEST(KeepAlivePolicy, WithoutHistoryIdlingCostsAsMuchAsTheLoadThatItMaySave)
+TEST(KeepAlivePolicy, WithoutHistoryTheSkiRentalRuleApplies)
 {
     CHECK_TRUE(policy->keepUntil(idleSince(at(0s))) == at(40s));
 }
@@ -36,39 +36,39 @@
 TEST(KeepAlivePolicy, AModelThatReturnsOnlyAfterLongGapsIsUnloadedAtOnce)
 {
     for (int index = 0; index < 20; ++index)
-        haveGap(10min);
+        recordGap(10min);
     CHECK_TRUE(policy->keepUntil(idleSince(now)) == now);
 }
 
 TEST(KeepAlivePolicy, AModelThatReturnsWithinABurstIsKeptJustThatLong)
 {
     for (int index = 0; index < 40; ++index)
-        haveGap(index % 10 == 0 ? base::Duration(20min) : base::Duration(3s));
+        recordGap(index % 10 == 0 ? base::Duration(20min) : base::Duration(3s));
     auto kept = policy->keepUntil(idleSince(now)) - now;
     CHECK_TRUE(kept >= 3s);
     CHECK_TRUE(kept <= 4s);
 }
 
-TEST(KeepAlivePolicy, AModelThatIsAskedOnATimerIsExpectedShortlyBeforeItsNextRequest)
+TEST(KeepAlivePolicy, TheNextRequestOfAPeriodicallyRequestedModelIsPredicted)
 {
     for (int index = 0; index < 20; ++index)
-        haveGap(600s + std::chrono::seconds(index % 3));
-    CHECK_FALSE(policy->expectedReturn(model).has_value());
+        recordGap(600s + std::chrono::seconds(index % 3));
+    CHECK_FALSE(policy->predictNextRequest(model).has_value());
     policy->onIdle(idleSince(now));
-    auto expected = policy->expectedReturn(model);
+    auto expected = policy->predictNextRequest(model);
     CHECK_TRUE(expected->earliest > now + 590s);
     CHECK_TRUE(expected->earliest <= now + 600s);
     CHECK_TRUE(expected->latest >= now + 602s);
     policy->onRequest(model, now + 20s);
     policy->onIdle(idleSince(now + 20s));
-    CHECK_FALSE(policy->expectedReturn(model).has_value());
+    CHECK_FALSE(policy->predictNextRequest(model).has_value());
 }
 
-TEST(KeepAlivePolicy, UnderPressureTheModelThatIsLeastLikelyToReturnGoesFirst)
+TEST(KeepAlivePolicy, UnderPressureTheModelLeastLikelyToBeRequestedIsEvictedFirst)
 {
     base::ModelId rare("rare");
     for (int index = 0; index < 20; ++index) {
-        haveGap(5s);
+        recordGap(5s);
         policy->onIdle(idleSince(now, rare));
         policy->onRequest(rare, now + 30min);
     }
@@ -82,10 +82,10 @@
     CHECK_TRUE(fixed->evictionCost(idleSince(at(0s)), at(10s)) < fixed->evictionCost(idleSince(at(5s)), at(10s)));
 }
 
-TEST(KeepAlivePolicy, KeepingNeverEndsBeforeItBeginsNorLastsBeyondTheLongest)
+TEST(KeepAlivePolicy, KeepAliveIsNeverNegativeNorBeyondTheMaximum)
 {
     CHECK_PROPERTY([](const std::vector<uint16_t>& gaps) {
-        auto learnt = makeLearntKeepAlive({ .longest = 10min });
+        auto learnt = makeLearntKeepAlive({ .maximumKeepAlive = 10min });
         auto time = at(0s);
         for (auto gap : gaps) {
             learnt->onIdle(idleSince(time));
--- a/packages/placement/test/LoadPermitsTest.cpp
+++ b/packages/placement/test/LoadPermitsTest.cpp
@@ -15,26 +15,26 @@
     return { base::UpstreamId(base::concat("u", borrower)), base::ModelId("m"), kind, at(deadline), weight, 10s };
 }
 
-// Asks, gives back and lets time pass at random; more than the limit must never be lent at once.
+// Acquires and releases permits at random times; the number of leased permits must never exceed the limit.
 void checkLimit(PermitSettings settings, int64_t allowed)
 {
     LoadPermits permits(settings);
     auto now = at(0s);
-    std::vector<PermitLease> lent;
+    std::vector<PermitLease> leases;
     auto steps = *rc::gen::inRange(0, 60);
     for (int step = 0; step < steps; ++step) {
         now += std::chrono::milliseconds(*rc::gen::inRange(0, 3000));
         auto borrower = *rc::gen::inRange(0, 12);
         if (*rc::gen::arbitrary<bool>()) {
             if (auto permit = permits.requestPermit(requestFrom(borrower, 60s), now))
-                lent.push_back(*permit);
-        } else if (!lent.empty()) {
-            permits.release(lent.back().id);
-            lent.pop_back();
+                leases.push_back(*permit);
+        } else if (!leases.empty()) {
+            permits.release(leases.back().id);
+            leases.pop_back();
         }
         for (const auto& permit : permits.tick(now))
-            lent.push_back(permit);
-        RC_ASSERT(permits.lent(PermitKind::Model, now) <= allowed);
+            leases.push_back(permit);
+        RC_ASSERT(permits.leasedCount(PermitKind::Model, now) <= allowed);
     }
 }
 
@@ -44,7 +44,7 @@
 {
     LoadPermits permits { {} };
 
-    void lendAll()
+    void leaseAll()
     {
         for (int borrower = 0; borrower < 4; ++borrower)
             CHECK_TRUE(permits.requestPermit(requestFrom(borrower, 60s), at(0s)).has_value());
@@ -59,35 +59,35 @@
 
 TEST(LoadPermits, TheEarliestDeadlineGoesFirstAndTheGreaterWeightAmongEqualOnes)
 {
-    lendAll();
+    leaseAll();
     permits.requestPermit(requestFrom(10, 50s), at(1s));
     permits.requestPermit(requestFrom(11, 30s), at(1s));
     permits.requestPermit(requestFrom(12, 30s, 5), at(1s));
-    auto held = permits.requestPermit(requestFrom(0, 60s), at(1s));
-    permits.release(held->id);
-    auto lent = permits.tick(at(2s));
-    CHECK_EQUAL(1, lent.size());
-    STRCMP_EQUAL("u12", lent[0].borrower.value().c_str());
+    auto leased = permits.requestPermit(requestFrom(0, 60s), at(1s));
+    permits.release(leased->id);
+    auto leases = permits.tick(at(2s));
+    CHECK_EQUAL(1, leases.size());
+    STRCMP_EQUAL("u12", leases[0].borrower.value().c_str());
 }
 
-TEST(LoadPermits, ALostAnswerIsHealedByAskingAgain)
+TEST(LoadPermits, RepeatingARequestReturnsTheSamePermit)
 {
     auto first = permits.requestPermit(requestFrom(1, 60s), at(0s));
     auto again = permits.requestPermit(requestFrom(1, 60s), at(1s));
     CHECK_TRUE(first->id == again->id);
-    CHECK_EQUAL(1, permits.lent(PermitKind::Model, at(1s)));
+    CHECK_EQUAL(1, permits.leasedCount(PermitKind::Model, at(1s)));
 }
 
-TEST(LoadPermits, ABorrowerThatDiedBlocksItsPermitForALimitedTime)
+TEST(LoadPermits, ACrashedBorrowerBlocksItsPermitForALimitedTime)
 {
-    lendAll();
+    leaseAll();
     CHECK_FALSE(permits.requestPermit(requestFrom(10, 60s), at(1s)).has_value());
     CHECK_TRUE(permits.requestPermit(requestFrom(10, 60s), at(31s)).has_value());
 }
 
-TEST(LoadPermits, WhoNoLongerWaitsOrStoppedAskingGetsNone)
+TEST(LoadPermits, CanceledAndExpiredRequestsGetNoPermit)
 {
-    lendAll();
+    leaseAll();
     permits.requestPermit(requestFrom(10, 60s), at(1s));
     permits.requestPermit(requestFrom(11, 60s), at(1s));
     permits.withdraw(base::UpstreamId("u10"), base::ModelId("m"));
@@ -96,7 +96,7 @@
 
 TEST(LoadPermits, TheExpectedTimeCountsRunningLoadsAndThoseAhead)
 {
-    lendAll();
+    leaseAll();
     CHECK_TRUE(permits.expectedAt(requestFrom(20, 60s), at(2s)) == at(10s));
     for (int borrower = 10; borrower < 14; ++borrower)
         permits.requestPermit(requestFrom(borrower, 50s), at(2s));
@@ -105,16 +105,16 @@
     CHECK_TRUE(permits.expectedAt(requestFrom(20, 60s, 1, PermitKind::Adapter), at(2s)) == at(2s));
 }
 
-TEST(LoadPermits, WithoutTheHomeAllSidecarsTogetherKeepTheStoresPace)
+TEST(LoadPermits, WithoutThePermitGatewaySidecarsStayWithinTheStoresLoadRate)
 {
-    // The gateway that lends the permits is cut off. Eighteen sidecars with waiting callers must neither stop nor begin
-    // eighteen loads at once, which would slow the store for all.
+    // The gateway that grants the permits is unreachable. 18 sidecars with waiting callers must neither stop loading nor start
+    // 18 loads at once, which would slow down the store for all.
     std::vector<FallbackLoadLimiter> sidecars;
     for (int index = 0; index < 18; ++index)
         sidecars.emplace_back(FallbackLoadLimiterSettings { {}, 18 }, index * 1000 / 18, at(0s));
     std::vector<std::pair<int, base::Instant>> running;
     int begun = 0;
-    size_t most = 0;
+    size_t maximumRunning = 0;
     for (int tick = 0; tick < 1200; ++tick) {
         auto now = at(100ms * tick);
         std::erase_if(running, [&](const auto& load) {
@@ -128,9 +128,9 @@
                 running.emplace_back(index, now + 10s);
                 ++begun;
             }
-        most = std::max(most, running.size());
+        maximumRunning = std::max(maximumRunning, running.size());
     }
-    CHECK_TRUE(most <= 5);
-    // Four loads of 10 s at once make 48 in 120 s.
+    CHECK_TRUE(maximumRunning <= 5);
+    // Four concurrent loads of 10 s each make 48 loads in 120 s.
     CHECK_TRUE(begun >= 44);
 }
--- a/packages/placement/test/ReplicaPlanTest.cpp
+++ b/packages/placement/test/ReplicaPlanTest.cpp
@@ -56,7 +56,7 @@
     return instance;
 }
 
-// The rows in the key-value service, changed by compare-and-swap only.
+// Models the rows in the key-value store, which are changed by compare-and-swap only.
 class RowStore {
 public:
     bool apply(const ReplicaIntent& intent)
@@ -88,7 +88,7 @@
         return true;
     }
 
-    // Holders that are there give back what they were asked for.
+    // Holders that respond release the rows they were asked to release.
     void releaseAsked(const std::function<bool(const ReplicaRow&)>& answers)
     {
         for (auto& [key, row] : m_rows)
@@ -163,7 +163,7 @@
     }
 };
 
-// Ticks until nothing changes; false if that does not come to pass.
+// Runs ticks until a plan is empty; returns false if that does not happen within 60 ticks.
 bool converges(Cluster& cluster)
 {
     for (int step = 0; step < 60; ++step)
@@ -221,8 +221,8 @@
 
 TEST(ReplicaPlan, ALeavingHoldersModelsGetAnotherRowInTheSameTick)
 {
-    // An instance is replaced. Its sidecar refuses new work at once, but gives its rows back only when the last answer
-    // has ended, minutes later; until then the models whose only home it was were refused.
+    // When an instance is replaced, its sidecar refuses new work at once but releases its rows only after its last response
+    // has ended, minutes later. Until then, requests for models whose only row was there were refused.
     setUp(6, 3);
     cluster.tick();
     cluster.instances[0].presence = HolderPresence::Leaving;
@@ -236,8 +236,8 @@
 
 TEST(ReplicaPlan, AMissingHolderKeepsItsRowsUntilItIsProvedGone)
 {
-    // The platform's list loses an instance for a moment while it runs, cut off. Giving its row to another one would let
-    // two instances load under one row.
+    // A running but unreachable instance is briefly missing from the platform's list. Moving its row to another instance
+    // would let two instances load the model under the same row.
     setUp(1, 2);
     cluster.tick();
     auto row = cluster.store.rows()[0];
@@ -306,8 +306,8 @@
 
 TEST(ReplicaPlan, OfTwoPlannersOnlyOneWinsEachRow)
 {
-    // A planner is paused after it read the rows. Another takes over and moves a home; then the first wakes up and writes
-    // what it had decided.
+    // A planner is paused after it has read the rows. Another planner takes over and moves the rows; then the first one resumes
+    // and writes its stale plan.
     setUp(10, 4);
     cluster.tick();
     cluster.instances[0].presence = HolderPresence::Gone;
@@ -326,8 +326,8 @@
 
 namespace {
 
-// Instances come, leave, vanish and prove gone, the text changes, demand rises and falls, a second planner with old input
-// writes as well. Then all is quiet, and the plan must settle.
+// Random history: instances join, leave, go missing and are confirmed gone, the configuration and the demand change, and a
+// second planner writes stale plans. Once the changes end, the plan must converge.
 void checkCluster(bool checksRevision)
 {
     Cluster cluster;
@@ -338,7 +338,7 @@
     for (int index = 0; index < instances; ++index)
         cluster.instances.push_back(makeInstance(index));
     Planner other({});
-    std::vector<ReplicaIntent> late;
+    std::vector<ReplicaIntent> stalePlan;
     int nextInstance = instances;
     auto steps = *rc::gen::inRange(0, 25);
     for (int step = 0; step < steps; ++step) {
@@ -365,15 +365,15 @@
             cluster.configuration.models.push_back(makeModel(base::concat("extra", step), *rc::gen::inRange(10, 90)));
             break;
         default:
-            for (const auto& intent : late)
+            for (const auto& intent : stalePlan)
                 cluster.store.apply(intent);
-            late.clear();
+            stalePlan.clear();
             break;
         }
-        if (late.empty())
-            late = other.plan(cluster.input());
+        if (stalePlan.empty())
+            stalePlan = other.plan(cluster.input());
         cluster.tick();
-        // A row is taken from its holder only when it was released or its holder was proved gone.
+        // A row may lose its holder only if it was released or the holder is confirmed gone.
         for (const auto& old : before) {
             auto rows = cluster.store.rowsOf(old.model);
             auto isKept = std::any_of(rows.begin(), rows.end(), [&](const auto& row) { return row.slot == old.slot && row.holder == old.holder; });
@@ -388,7 +388,7 @@
     cluster.instances.push_back(makeInstance(1000, "d0"));
     cluster.instances.push_back(makeInstance(1001, "d1"));
     cluster.demand.clear();
-    // Beyond the waiting time for taking back, then quiet.
+    // Runs past the scale-down delay.
     for (int minute = 0; minute < 40; ++minute) {
         cluster.now += 5min;
         cluster.tick();
@@ -405,12 +405,12 @@
 
 } // namespace
 
-TEST(ReplicaPlan, AfterAnyHistoryThePlanSettlesWithOneHomeForEachModel)
+TEST(ReplicaPlan, AfterAnyHistoryThePlanConvergesToOneHomeForEachModel)
 {
     CHECK_PROPERTY([] { checkCluster(true); });
 }
 
-TEST(ReplicaPlan, TheCheckOfHistoriesRejectsWritesWithoutCompareAndSwap)
+TEST(ReplicaPlan, HistoryCheckDetectsWritesWithoutCompareAndSwap)
 {
     CHECK_FALSE(toucanstep::testing::counterexample({ .maxSuccess = 1000 }, [] { checkCluster(false); }).empty());
 }
--- a/packages/placement/test/ResidencyManagerTest.cpp
+++ b/packages/placement/test/ResidencyManagerTest.cpp
@@ -15,7 +15,7 @@
 
 base::Instant at(base::Duration sinceStart) { return base::Instant(std::chrono::hours(1)) + sinceStart; }
 
-std::vector<ModelSpec> someModels()
+std::vector<ModelSpec> testModels()
 {
     return { { base::ModelId("a"), base::Bytes(60), 2s, std::nullopt }, { base::ModelId("b"), base::Bytes(50), 3s, std::nullopt },
         { base::ModelId("c"), base::Bytes(30), 1s, std::nullopt }, { base::ModelId("d"), base::Bytes(90), 1s, std::nullopt }, { base::ModelId("a-x"), base::Bytes(10), 500ms, base::ModelId("a") } };
@@ -26,16 +26,16 @@
     return { .capacity = capacity, .fencing = fencing, .lateOrderHorizon = horizon, .orderTimeout = 1s };
 }
 
-bool always(const base::ModelId&, base::Instant) { return true; }
+bool alwaysPermit(const base::ModelId&, base::Instant) { return true; }
 
-// One sidecar process after another before one engine.
-class Host {
+// Runs successive sidecar processes against one engine.
+class SidecarHarness {
 public:
-    explicit Host(ResidencySettings settings, bool engineFences)
+    explicit SidecarHarness(ResidencySettings settings, bool engineFences)
         : engine(capacity, engineFences)
         , m_settings(settings)
     {
-        for (const auto& spec : someModels())
+        for (const auto& spec : testModels())
             engine.addModel(spec);
         engine.onAnswer = [this](int sender, OrderId id, OrderOutcome outcome, base::Instant now) {
             if (sender != m_process)
@@ -47,18 +47,18 @@
             if (sender == m_process)
                 manager->onIndex(index, now);
         };
-        for (const auto& spec : someModels())
+        for (const auto& spec : testModels())
             rows.insert(spec.model);
         start();
     }
 
-    // The present process dies with its orders on their way, and another takes its place.
+    // Replaces the current process, whose orders stay in flight, by a new one.
     void start()
     {
         ++m_process;
         m_loading.clear();
-        manager = std::make_unique<ResidencyManager>(m_settings, makeLearntKeepAlive({ .gapsBeforeTrust = 2, .maximumRelativeDeviation = 0.8 }), base::Epoch(m_process), now);
-        manager->setModelSpecs(someModels());
+        manager = std::make_unique<ResidencyManager>(m_settings, makeLearntKeepAlive({ .minimumGapSamples = 2, .maximumRelativeDeviation = 0.8 }), base::Epoch(m_process), now);
+        manager->setModelSpecs(testModels());
         for (const auto& model : rows)
             manager->grantRow(model, base::Epoch(1));
     }
@@ -69,26 +69,26 @@
         manager->onUpstreamCrashed(now);
     }
 
-    void step(base::Duration duration, const std::function<Fate()>& nextFate)
+    void step(base::Duration duration, const std::function<Delivery()>& nextDelivery)
     {
         now += duration;
         engine.advance(now);
-        for (const auto& order : manager->tick(now, always)) {
+        for (const auto& order : manager->tick(now, alwaysPermit)) {
             if (order.kind == OrderKind::Load)
-                doubled = doubled || !m_loading.emplace(order.id, order.model).second || countLoading(order.model) > 1;
+                duplicateLoad = duplicateLoad || !m_loading.emplace(order.id, order.model).second || countLoading(order.model) > 1;
             if (order.kind == OrderKind::Unload)
                 unloadedInUse = unloadedInUse || inUse[order.model] > 0;
-            engine.give(m_process, order, nextFate(), now);
+            engine.send(m_process, order, nextDelivery(), now);
         }
-        for (const auto& spec : someModels())
+        for (const auto& spec : testModels())
             releaseIfPossible(spec.model);
     }
 
-    // Steps on until the model can be used or the time is over.
-    void settle(base::Duration duration)
+    // Advances in steps of 100 ms for the given time, over a network without delays or losses.
+    void runFor(base::Duration duration)
     {
         for (base::Duration passed {}; passed < duration; passed += 100ms)
-            step(100ms, [] { return Fate { 0s, std::nullopt, false }; });
+            step(100ms, [] { return Delivery { 0s, std::nullopt, false }; });
     }
 
     void releaseIfPossible(const base::ModelId& model)
@@ -114,7 +114,7 @@
     std::set<base::ModelId> rows;
     std::set<base::ModelId> withdrawn;
     std::map<base::ModelId, int> inUse;
-    bool doubled = false;
+    bool duplicateLoad = false;
     bool unloadedInUse = false;
 
 private:
@@ -128,85 +128,85 @@
     std::map<OrderId, base::ModelId> m_loading;
 };
 
-Fate randomFate()
+Delivery randomDelivery()
 {
     auto delay = [] { return base::Duration(std::chrono::milliseconds(*rc::gen::inRange<int64_t>(0, 10000))); };
-    Fate fate;
+    Delivery delivery;
     switch (*rc::gen::weightedElement<int>({ { 6, 0 }, { 2, 1 }, { 1, 2 } })) {
     case 0:
-        fate.lands = 10ms;
+        delivery.firstDelay = 10ms;
         break;
     case 1:
-        fate.lands = delay();
+        delivery.firstDelay = delay();
         break;
     default:
         break;
     }
     if (*rc::gen::weightedElement<bool>({ { 6, false }, { 1, true } }))
-        fate.duplicateLands = delay();
-    fate.indexDelay = std::chrono::milliseconds(*rc::gen::inRange(0, 1500));
-    fate.answerLost = *rc::gen::weightedElement<bool>({ { 5, false }, { 1, true } });
-    return fate;
+        delivery.duplicateDelay = delay();
+    delivery.indexDelay = std::chrono::milliseconds(*rc::gen::inRange(0, 1500));
+    delivery.answerLost = *rc::gen::weightedElement<bool>({ { 5, false }, { 1, true } });
+    return delivery;
 }
 
-// A history of requests, losses, crashes of the engine and deaths of the sidecar; checks every bound after each step.
+// Random history of requests, lost orders, engine crashes and sidecar restarts; checks all invariants after each step.
 void checkHistory(ResidencySettings settings, bool engineFences)
 {
-    Host host(settings, engineFences);
-    auto models = someModels();
+    SidecarHarness harness(settings, engineFences);
+    auto models = testModels();
     int64_t lastRequest = 0;
     std::map<base::ModelId, std::vector<base::RequestId>> waiting;
     auto steps = *rc::gen::inRange(1, 120);
     for (int step = 0; step < steps; ++step) {
         const auto model = models[*rc::gen::inRange<size_t>(0, models.size())].model;
-        auto& manager = *host.manager;
+        auto& manager = *harness.manager;
         switch (*rc::gen::weightedElement<int>({ { 8, 0 }, { 4, 1 }, { 5, 2 }, { 5, 3 }, { 2, 4 }, { 1, 5 }, { 1, 6 }, { 2, 7 } })) {
         case 0:
             waiting[model].emplace_back(base::concat(++lastRequest));
-            manager.addWaiter(model, waiting[model].back(), host.now + 30s, host.now);
+            manager.addWaiter(model, waiting[model].back(), harness.now + 30s, harness.now);
             break;
         case 1:
             for (const auto& request : waiting[model])
-                manager.removeWaiter(model, request, host.now);
+                manager.removeWaiter(model, request, harness.now);
             waiting[model].clear();
             break;
         case 2:
-            if (manager.beginUse(model, host.now))
-                ++host.inUse[model];
+            if (manager.beginUse(model, harness.now))
+                ++harness.inUse[model];
             break;
         case 3:
-            if (host.inUse[model] > 0) {
-                --host.inUse[model];
-                manager.endUse(model, host.now);
+            if (harness.inUse[model] > 0) {
+                --harness.inUse[model];
+                manager.endUse(model, harness.now);
             }
             break;
         case 4:
-            if (host.rows.count(model)) {
+            if (harness.rows.count(model)) {
                 manager.withdrawRow(model);
-                host.withdrawn.insert(model);
+                harness.withdrawn.insert(model);
             } else {
-                host.rows.insert(model);
+                harness.rows.insert(model);
                 manager.grantRow(model, base::Epoch(2));
             }
             break;
         case 5:
-            host.crashEngine();
+            harness.crashEngine();
             break;
         case 6:
-            host.inUse.clear();
-            host.withdrawn.clear();
+            harness.inUse.clear();
+            harness.withdrawn.clear();
             waiting.clear();
-            host.start();
+            harness.start();
             break;
         default:
             break;
         }
-        host.step(std::chrono::milliseconds(*rc::gen::inRange(10, 2500)), randomFate);
-        RC_ASSERT(!host.engine.overcommitted);
-        RC_ASSERT(!host.doubled);
-        RC_ASSERT(!host.unloadedInUse);
-        RC_ASSERT(!host.loadedWithoutRow());
-        RC_ASSERT(host.manager->predecessorMayAct() || host.engine.used() <= host.manager->reservedMemory());
+        harness.step(std::chrono::milliseconds(*rc::gen::inRange(10, 2500)), randomDelivery);
+        RC_ASSERT(!harness.engine.overcommitted);
+        RC_ASSERT(!harness.duplicateLoad);
+        RC_ASSERT(!harness.unloadedInUse);
+        RC_ASSERT(!harness.loadedWithoutRow());
+        RC_ASSERT(harness.manager->predecessorOrdersMayApply() || harness.engine.used() <= harness.manager->reservedMemory());
     }
 }
 
@@ -233,259 +233,261 @@
     CHECK_PROPERTY_WITH(manyHistories, [] { checkHistory(settingsFor(false), false); });
 }
 
-TEST(ResidencyManager, TheCheckOfHistoriesRejectsTrustInFencingThatIsNotThere)
+TEST(ResidencyManager, HistoryCheckDetectsRelianceOnMissingFencing)
 {
     CHECK_FALSE(toucanstep::testing::counterexample(manyHistories, [] { checkHistory(settingsFor(true), false); }).empty());
 }
 
-TEST(ResidencyManager, TheCheckOfHistoriesRejectsFreeingMemoryOnTheFirstIndex)
+TEST(ResidencyManager, HistoryCheckDetectsMemoryFreedOnTheFirstIndex)
 {
-    auto hasty = settingsFor(false);
-    hasty.lateOrderHorizon = 0s;
-    CHECK_FALSE(toucanstep::testing::counterexample(manyHistories, [&] { checkHistory(hasty, false); }).empty());
+    auto withoutHorizon = settingsFor(false);
+    withoutHorizon.lateOrderHorizon = 0s;
+    CHECK_FALSE(toucanstep::testing::counterexample(manyHistories, [&] { checkHistory(withoutHorizon, false); }).empty());
 }
 
-TEST(ResidencyManager, ManyWaitersMakeOneLoad)
+TEST(ResidencyManager, ManyWaitersCauseOneLoad)
 {
-    // A cold model is asked for by fifty callers at three gateways within a second; each gateway ordered a load.
-    Host host(settingsFor(true), true);
-    host.settle(1s);
+    // Fifty callers at three gateways request a cold model within a second. The fault: each gateway
+    // ordered its own load.
+    SidecarHarness harness(settingsFor(true), true);
+    harness.runFor(1s);
     for (int index = 0; index < 50; ++index)
-        host.manager->addWaiter(a, base::RequestId(base::concat(index)), host.now + 30s, host.now);
-    host.settle(100ms);
-    CHECK_TRUE(host.manager->state(a) == ResidencyState::Loading);
-    CHECK_TRUE(*host.manager->expectedLoadEnd(a, host.now) == host.now + 2s);
-    host.settle(3s);
-    CHECK_TRUE(host.manager->usable(a));
-    CHECK_EQUAL(1, host.engine.loadsBegun);
+        harness.manager->addWaiter(a, base::RequestId(base::concat(index)), harness.now + 30s, harness.now);
+    harness.runFor(100ms);
+    CHECK_TRUE(harness.manager->state(a) == ResidencyState::Loading);
+    CHECK_TRUE(*harness.manager->expectedLoadEnd(a, harness.now) == harness.now + 2s);
+    harness.runFor(3s);
+    CHECK_TRUE(harness.manager->usable(a));
+    CHECK_EQUAL(1, harness.engine.loadsBegun);
 }
 
-TEST(ResidencyManager, ASidecarThatDiesInMidLoadLeavesALoadThatItsSuccessorTakesOver)
+TEST(ResidencyManager, ALoadOfACrashedSidecarIsTakenOverByItsSuccessor)
 {
-    // The sidecar is killed while the engine loads a model. Its successor saw free memory, loaded a second model into it,
-    // and the engine ran out of memory once the first load ended.
-    Host host(settingsFor(true), true);
-    host.settle(1s);
-    host.manager->addWaiter(a, base::RequestId("1"), host.now + 30s, host.now);
-    host.settle(500ms);
-    host.start();
-    host.manager->addWaiter(b, base::RequestId("2"), host.now + 30s, host.now);
-    host.settle(500ms);
-    CHECK_TRUE(host.manager->state(a) == ResidencyState::Loading);
-    CHECK_TRUE(host.manager->state(b) != ResidencyState::Loading);
-    host.settle(10s);
-    CHECK_TRUE(host.manager->usable(b));
-    CHECK_FALSE(host.engine.overcommitted);
+    // The sidecar is killed while the engine loads a model. The fault: its successor saw free memory and loaded a second
+    // model, and the engine ran out of memory when the first load ended.
+    SidecarHarness harness(settingsFor(true), true);
+    harness.runFor(1s);
+    harness.manager->addWaiter(a, base::RequestId("1"), harness.now + 30s, harness.now);
+    harness.runFor(500ms);
+    harness.start();
+    harness.manager->addWaiter(b, base::RequestId("2"), harness.now + 30s, harness.now);
+    harness.runFor(500ms);
+    CHECK_TRUE(harness.manager->state(a) == ResidencyState::Loading);
+    CHECK_TRUE(harness.manager->state(b) != ResidencyState::Loading);
+    harness.runFor(10s);
+    CHECK_TRUE(harness.manager->usable(b));
+    CHECK_FALSE(harness.engine.overcommitted);
 }
 
-TEST(ResidencyManager, AnOrderThatTimedOutKeepsItsMemoryUntilItCanLandNoLonger)
+TEST(ResidencyManager, ATimedOutLoadKeepsItsMemoryUntilItCanNoLongerTakeEffect)
 {
-    // An order to load gets no answer. The index shows nothing, the sidecar frees the memory and loads another model;
-    // then the first order arrives after all.
-    Host host(settingsFor(false), false);
-    host.settle(horizon + 1s);
-    host.manager->addWaiter(a, base::RequestId("1"), host.now + 30s, host.now);
-    host.step(100ms, [] { return Fate { 9s, std::nullopt, false }; });
-    host.manager->removeWaiter(a, base::RequestId("1"), host.now);
-    host.manager->addWaiter(b, base::RequestId("2"), host.now + 60s, host.now);
-    host.settle(8s);
-    CHECK_TRUE(host.manager->state(a) == ResidencyState::Unknown);
-    CHECK_TRUE(host.manager->state(b) == ResidencyState::Assigned);
-    host.settle(20s);
-    CHECK_TRUE(host.manager->usable(b));
-    CHECK_FALSE(host.engine.overcommitted);
+    // A load order times out. The fault: the index does not show the model, the sidecar frees its memory and loads another
+    // model, and then the delayed first order takes effect.
+    SidecarHarness harness(settingsFor(false), false);
+    harness.runFor(horizon + 1s);
+    harness.manager->addWaiter(a, base::RequestId("1"), harness.now + 30s, harness.now);
+    harness.step(100ms, [] { return Delivery { 9s, std::nullopt, false }; });
+    harness.manager->removeWaiter(a, base::RequestId("1"), harness.now);
+    harness.manager->addWaiter(b, base::RequestId("2"), harness.now + 60s, harness.now);
+    harness.runFor(8s);
+    CHECK_TRUE(harness.manager->state(a) == ResidencyState::Unknown);
+    CHECK_TRUE(harness.manager->state(b) == ResidencyState::Assigned);
+    harness.runFor(20s);
+    CHECK_TRUE(harness.manager->usable(b));
+    CHECK_FALSE(harness.engine.overcommitted);
 }
 
 TEST(ResidencyManager, AFenceSettlesAnOrderThatTimedOutWithoutWaiting)
 {
-    Host host(settingsFor(true), true);
-    host.settle(1s);
-    host.manager->addWaiter(a, base::RequestId("1"), host.now + 30s, host.now);
-    host.step(100ms, [] { return Fate { 9s, std::nullopt, false }; });
-    host.manager->removeWaiter(a, base::RequestId("1"), host.now);
-    host.manager->addWaiter(b, base::RequestId("2"), host.now + 60s, host.now);
-    // The order's own time limit is five seconds; the engine's new fence then proves that it has no effect.
-    host.settle(9s);
-    CHECK_TRUE(host.manager->usable(b));
-    host.settle(5s);
-    CHECK_FALSE(host.engine.isResident(a));
+    SidecarHarness harness(settingsFor(true), true);
+    harness.runFor(1s);
+    harness.manager->addWaiter(a, base::RequestId("1"), harness.now + 30s, harness.now);
+    harness.step(100ms, [] { return Delivery { 9s, std::nullopt, false }; });
+    harness.manager->removeWaiter(a, base::RequestId("1"), harness.now);
+    harness.manager->addWaiter(b, base::RequestId("2"), harness.now + 60s, harness.now);
+    // The order times out after five seconds; raising the fence then guarantees that it has no effect.
+    harness.runFor(9s);
+    CHECK_TRUE(harness.manager->usable(b));
+    harness.runFor(5s);
+    CHECK_FALSE(harness.engine.isResident(a));
 }
 
-TEST(ResidencyManager, AnEngineThatIgnoresFencingGetsNoLoadWhileAPredecessorsOrderMayLand)
+TEST(ResidencyManager, AnEngineThatIgnoresFencingGetsNoLoadWhileAPredecessorsOrderMayTakeEffect)
 {
-    // A sidecar is killed just after it sent an order to load. The engine ignores fencing, the order is still on its way,
-    // and the successor's first index shows an empty engine.
-    Host host(settingsFor(false), false);
-    host.settle(horizon + 1s);
-    host.manager->addWaiter(a, base::RequestId("1"), host.now + 30s, host.now);
-    host.step(100ms, [] { return Fate { 9s, std::nullopt, false }; });
-    host.start();
-    host.manager->addWaiter(b, base::RequestId("2"), host.now + 60s, host.now);
-    CHECK_TRUE(*host.manager->expectedLoadEnd(b, host.now) == host.now + horizon + 3s);
-    host.settle(9500ms);
-    CHECK_TRUE(host.manager->state(a) == ResidencyState::Loading);
-    CHECK_TRUE(host.manager->state(b) == ResidencyState::Assigned);
-    host.settle(30s);
-    CHECK_TRUE(host.manager->usable(b));
-    CHECK_FALSE(host.engine.overcommitted);
+    // A sidecar is killed just after sending a load order. The engine ignores fencing, the order is still in flight, and the
+    // successor's first index shows an empty engine.
+    SidecarHarness harness(settingsFor(false), false);
+    harness.runFor(horizon + 1s);
+    harness.manager->addWaiter(a, base::RequestId("1"), harness.now + 30s, harness.now);
+    harness.step(100ms, [] { return Delivery { 9s, std::nullopt, false }; });
+    harness.start();
+    harness.manager->addWaiter(b, base::RequestId("2"), harness.now + 60s, harness.now);
+    CHECK_TRUE(*harness.manager->expectedLoadEnd(b, harness.now) == harness.now + horizon + 3s);
+    harness.runFor(9500ms);
+    CHECK_TRUE(harness.manager->state(a) == ResidencyState::Loading);
+    CHECK_TRUE(harness.manager->state(b) == ResidencyState::Assigned);
+    harness.runFor(30s);
+    CHECK_TRUE(harness.manager->usable(b));
+    CHECK_FALSE(harness.engine.overcommitted);
 }
 
 TEST(ResidencyManager, AnEnginesCrashFreesMemoryOnlyAfterALaterIndex)
 {
-    Host host(settingsFor(true), true);
-    host.settle(1s);
-    host.manager->addWaiter(a, base::RequestId("1"), host.now + 60s, host.now);
-    host.settle(5s);
-    CHECK_TRUE(host.manager->usable(a));
-    host.crashEngine();
-    CHECK_FALSE(host.manager->usable(a));
-    CHECK_EQUAL(60, host.manager->reservedMemory().value());
-    host.settle(10s);
-    CHECK_TRUE(host.manager->usable(a));
-    CHECK_EQUAL(2, host.engine.loadsBegun);
+    SidecarHarness harness(settingsFor(true), true);
+    harness.runFor(1s);
+    harness.manager->addWaiter(a, base::RequestId("1"), harness.now + 60s, harness.now);
+    harness.runFor(5s);
+    CHECK_TRUE(harness.manager->usable(a));
+    harness.crashEngine();
+    CHECK_FALSE(harness.manager->usable(a));
+    CHECK_EQUAL(60, harness.manager->reservedMemory().value());
+    harness.runFor(10s);
+    CHECK_TRUE(harness.manager->usable(a));
+    CHECK_EQUAL(2, harness.engine.loadsBegun);
 }
 
 TEST(ResidencyManager, AnIndexFromBeforeACrashDoesNotMakeAModelUsable)
 {
-    // The index was read while the model was loaded, and arrives after the engine died: requests went to an empty engine.
-    Host host(settingsFor(true), true);
-    host.settle(1s);
-    host.manager->addWaiter(a, base::RequestId("1"), host.now + 60s, host.now);
-    host.settle(5s);
-    auto read = host.engine.index();
-    read.readBegan = host.now + 1ms;
-    host.manager->onUpstreamCrashed(host.now + 2ms);
-    host.manager->onIndex(read, host.now + 3ms);
-    CHECK_FALSE(host.manager->usable(a));
+    // The index was read while the model was loaded and arrives after the engine crashed. The fault: requests were sent to an
+    // empty engine.
+    SidecarHarness harness(settingsFor(true), true);
+    harness.runFor(1s);
+    harness.manager->addWaiter(a, base::RequestId("1"), harness.now + 60s, harness.now);
+    harness.runFor(5s);
+    auto read = harness.engine.index();
+    read.readBegan = harness.now + 1ms;
+    harness.manager->onUpstreamCrashed(harness.now + 2ms);
+    harness.manager->onIndex(read, harness.now + 3ms);
+    CHECK_FALSE(harness.manager->usable(a));
 }
 
-TEST(ResidencyManager, AnAnswerOfAnEngineThatDiedSinceDoesNotMakeAModelUsable)
+TEST(ResidencyManager, AResponseFromACrashedEngineDoesNotMakeAModelUsable)
 {
-    // The engine answers that the model is loaded and dies; the crash is noticed first, the answer arrives after it.
-    Host host(settingsFor(true), true);
-    host.settle(1s);
-    host.manager->addWaiter(a, base::RequestId("1"), host.now + 60s, host.now);
-    auto orders = host.manager->tick(host.now, always);
+    // The engine reports the model as loaded and crashes; the crash is detected before the response arrives.
+    SidecarHarness harness(settingsFor(true), true);
+    harness.runFor(1s);
+    harness.manager->addWaiter(a, base::RequestId("1"), harness.now + 60s, harness.now);
+    auto orders = harness.manager->tick(harness.now, alwaysPermit);
     CHECK_TRUE(orders.at(0).kind == OrderKind::Load);
-    host.manager->onUpstreamCrashed(host.now + 1ms);
-    host.manager->onOrderResult(orders.at(0).id, OrderOutcome::Done, host.now + 2ms);
-    CHECK_TRUE(host.manager->state(a) == ResidencyState::Unknown);
+    harness.manager->onUpstreamCrashed(harness.now + 1ms);
+    harness.manager->onOrderResult(orders.at(0).id, OrderOutcome::Done, harness.now + 2ms);
+    CHECK_TRUE(harness.manager->state(a) == ResidencyState::Unknown);
 }
 
 TEST(ResidencyManager, AnIndexFromBeforeAnUnloadEndedDoesNotMakeAModelUsable)
 {
-    Host host(settingsFor(true), true);
-    host.settle(1s);
-    host.manager->addWaiter(a, base::RequestId("1"), host.now + 60s, host.now);
-    host.settle(5s);
-    auto read = host.engine.index();
-    read.readBegan = host.now + 2ms;
-    host.manager->removeWaiter(a, base::RequestId("1"), host.now);
-    host.manager->withdrawRow(a);
-    auto orders = host.manager->tick(host.now + 1ms, always);
+    SidecarHarness harness(settingsFor(true), true);
+    harness.runFor(1s);
+    harness.manager->addWaiter(a, base::RequestId("1"), harness.now + 60s, harness.now);
+    harness.runFor(5s);
+    auto read = harness.engine.index();
+    read.readBegan = harness.now + 2ms;
+    harness.manager->removeWaiter(a, base::RequestId("1"), harness.now);
+    harness.manager->withdrawRow(a);
+    auto orders = harness.manager->tick(harness.now + 1ms, alwaysPermit);
     CHECK_TRUE(orders.at(0).kind == OrderKind::Unload);
-    host.manager->onOrderResult(orders.at(0).id, OrderOutcome::Done, host.now + 3ms);
-    host.manager->onIndex(read, host.now + 4ms);
-    CHECK_TRUE(host.manager->state(a) == ResidencyState::Unloading);
+    harness.manager->onOrderResult(orders.at(0).id, OrderOutcome::Done, harness.now + 3ms);
+    harness.manager->onIndex(read, harness.now + 4ms);
+    CHECK_TRUE(harness.manager->state(a) == ResidencyState::Unloading);
 }
 
 TEST(ResidencyManager, ALoadWhoseCallersLeftIsCancelledBeforeItBegins)
 {
-    Host host(settingsFor(true), true);
-    host.settle(1s);
+    SidecarHarness harness(settingsFor(true), true);
+    harness.runFor(1s);
     auto never = [](const base::ModelId&, base::Instant) { return false; };
-    host.manager->addWaiter(a, base::RequestId("1"), host.now + 60s, host.now);
-    host.manager->tick(host.now, never);
-    CHECK_TRUE(host.manager->state(a) == ResidencyState::Reserved);
-    host.manager->removeWaiter(a, base::RequestId("1"), host.now);
-    host.manager->tick(host.now, never);
-    CHECK_TRUE(host.manager->state(a) == ResidencyState::Assigned);
-    CHECK_EQUAL(0, host.engine.loadsBegun);
+    harness.manager->addWaiter(a, base::RequestId("1"), harness.now + 60s, harness.now);
+    harness.manager->tick(harness.now, never);
+    CHECK_TRUE(harness.manager->state(a) == ResidencyState::Reserved);
+    harness.manager->removeWaiter(a, base::RequestId("1"), harness.now);
+    harness.manager->tick(harness.now, never);
+    CHECK_TRUE(harness.manager->state(a) == ResidencyState::Assigned);
+    CHECK_EQUAL(0, harness.engine.loadsBegun);
 }
 
 TEST(ResidencyManager, AModelInUseIsNeverEvictedAndAnIdleOneMakesRoom)
 {
-    Host host(settingsFor(true), true);
-    host.settle(1s);
-    host.manager->addWaiter(a, base::RequestId("1"), host.now + 60s, host.now);
-    host.settle(3s);
-    CHECK_TRUE(host.manager->beginUse(a, host.now));
-    host.manager->removeWaiter(a, base::RequestId("1"), host.now);
-    host.manager->addWaiter(b, base::RequestId("2"), host.now + 60s, host.now);
-    host.settle(30s);
-    CHECK_TRUE(host.manager->usable(a));
-    CHECK_FALSE(host.manager->usable(b));
-    host.manager->endUse(a, host.now);
-    host.settle(5s);
-    CHECK_TRUE(host.manager->usable(b));
-    CHECK_FALSE(host.engine.isResident(a));
+    SidecarHarness harness(settingsFor(true), true);
+    harness.runFor(1s);
+    harness.manager->addWaiter(a, base::RequestId("1"), harness.now + 60s, harness.now);
+    harness.runFor(3s);
+    CHECK_TRUE(harness.manager->beginUse(a, harness.now));
+    harness.manager->removeWaiter(a, base::RequestId("1"), harness.now);
+    harness.manager->addWaiter(b, base::RequestId("2"), harness.now + 60s, harness.now);
+    harness.runFor(30s);
+    CHECK_TRUE(harness.manager->usable(a));
+    CHECK_FALSE(harness.manager->usable(b));
+    harness.manager->endUse(a, harness.now);
+    harness.runFor(5s);
+    CHECK_TRUE(harness.manager->usable(b));
+    CHECK_FALSE(harness.engine.isResident(a));
 }
 
-TEST(ResidencyManager, AModelOnATimerIsLoadedBeforeItsRequestAndUnloadedIfItStaysAway)
+TEST(ResidencyManager, APeriodicallyRequestedModelIsPreloadedAndUnloadedIfNoRequestFollows)
 {
-    // A forecast is asked for every ten minutes. Kept loaded it idles for ten minutes, unloaded each caller waits for a load.
-    Host host(settingsFor(true), true);
-    host.settle(1s);
+    // A model is requested every ten minutes. Kept loaded, it idles for ten minutes; unloaded, each caller waits for a load.
+    SidecarHarness harness(settingsFor(true), true);
+    harness.runFor(1s);
     for (int request = 0; request < 4; ++request) {
-        host.manager->addWaiter(c, base::RequestId(base::concat(request)), host.now + 60s, host.now);
-        host.settle(1500ms);
-        CHECK_TRUE(host.manager->beginUse(c, host.now));
-        host.manager->removeWaiter(c, base::RequestId(base::concat(request)), host.now);
-        host.manager->endUse(c, host.now);
-        host.settle(590s);
-        CHECK_FALSE(host.engine.isResident(c));
-        host.settle(9500ms);
+        harness.manager->addWaiter(c, base::RequestId(base::concat(request)), harness.now + 60s, harness.now);
+        harness.runFor(1500ms);
+        CHECK_TRUE(harness.manager->beginUse(c, harness.now));
+        harness.manager->removeWaiter(c, base::RequestId(base::concat(request)), harness.now);
+        harness.manager->endUse(c, harness.now);
+        harness.runFor(590s);
+        CHECK_FALSE(harness.engine.isResident(c));
+        harness.runFor(9500ms);
     }
-    CHECK_TRUE(host.manager->usable(c));
-    host.settle(600s);
-    CHECK_FALSE(host.engine.isResident(c));
+    CHECK_TRUE(harness.manager->usable(c));
+    harness.runFor(600s);
+    CHECK_FALSE(harness.engine.isResident(c));
 }
 
-TEST(ResidencyManager, MemoryThatIsBeingFreedForOneIsNotTakenByALaterOne)
+TEST(ResidencyManager, MemoryBeingFreedForOneModelIsNotGivenToALaterOne)
 {
-    // A large model waits for an idle one to be unloaded. Small ones that were asked for later took the free rest each
-    // time, and the large one's callers gave up.
-    Host host(settingsFor(true), true);
-    host.settle(1s);
-    host.manager->addWaiter(a, base::RequestId("1"), host.now + 60s, host.now);
-    host.settle(3s);
-    host.manager->removeWaiter(a, base::RequestId("1"), host.now);
-    host.manager->addWaiter(d, base::RequestId("2"), host.now + 20s, host.now);
-    host.manager->addWaiter(c, base::RequestId("3"), host.now + 60s, host.now);
-    host.settle(100ms);
-    CHECK_TRUE(host.manager->state(c) == ResidencyState::Assigned);
-    host.settle(3s);
-    CHECK_TRUE(host.manager->usable(d));
+    // A large model waits for an idle one to be unloaded. The fault: small models requested later took the free memory each
+    // time, and the large model's callers timed out.
+    SidecarHarness harness(settingsFor(true), true);
+    harness.runFor(1s);
+    harness.manager->addWaiter(a, base::RequestId("1"), harness.now + 60s, harness.now);
+    harness.runFor(3s);
+    harness.manager->removeWaiter(a, base::RequestId("1"), harness.now);
+    harness.manager->addWaiter(d, base::RequestId("2"), harness.now + 20s, harness.now);
+    harness.manager->addWaiter(c, base::RequestId("3"), harness.now + 60s, harness.now);
+    harness.runFor(100ms);
+    CHECK_TRUE(harness.manager->state(c) == ResidencyState::Assigned);
+    harness.runFor(3s);
+    CHECK_TRUE(harness.manager->usable(d));
 }
 
-TEST(ResidencyManager, AnAdapterBringsItsBaseModelAndLeavesBeforeIt)
+TEST(ResidencyManager, AnAdapterLoadsItsBaseModelAndIsUnloadedBeforeIt)
 {
-    Host host(settingsFor(true), true);
-    host.settle(1s);
-    host.manager->addWaiter(adapter, base::RequestId("1"), host.now + 60s, host.now);
-    CHECK_TRUE(*host.manager->expectedLoadEnd(adapter, host.now) == host.now + 2500ms);
-    host.settle(4s);
-    CHECK_TRUE(host.manager->usable(adapter));
-    CHECK_TRUE(host.manager->usable(a));
-    host.manager->removeWaiter(adapter, base::RequestId("1"), host.now);
-    host.manager->addWaiter(b, base::RequestId("2"), host.now + 60s, host.now);
-    host.settle(6s);
-    CHECK_TRUE(host.manager->usable(b));
-    CHECK_FALSE(host.engine.isResident(a) || host.engine.isResident(adapter));
+    SidecarHarness harness(settingsFor(true), true);
+    harness.runFor(1s);
+    harness.manager->addWaiter(adapter, base::RequestId("1"), harness.now + 60s, harness.now);
+    CHECK_TRUE(*harness.manager->expectedLoadEnd(adapter, harness.now) == harness.now + 2500ms);
+    harness.runFor(4s);
+    CHECK_TRUE(harness.manager->usable(adapter));
+    CHECK_TRUE(harness.manager->usable(a));
+    harness.manager->removeWaiter(adapter, base::RequestId("1"), harness.now);
+    harness.manager->addWaiter(b, base::RequestId("2"), harness.now + 60s, harness.now);
+    harness.runFor(6s);
+    CHECK_TRUE(harness.manager->usable(b));
+    CHECK_FALSE(harness.engine.isResident(a) || harness.engine.isResident(adapter));
 }
 
 TEST(ResidencyManager, AModelWithoutARowIsUnloadedAndNotLoaded)
 {
-    Host host(settingsFor(true), true);
-    host.settle(1s);
-    host.manager->addWaiter(a, base::RequestId("1"), host.now + 60s, host.now);
-    host.settle(4s);
-    host.manager->withdrawRow(a);
-    host.withdrawn.insert(a);
-    CHECK_FALSE(host.manager->mayRelease(a));
-    host.settle(20s);
-    CHECK_FALSE(host.engine.isResident(a));
-    CHECK_EQUAL(0, host.rows.count(a));
-    CHECK_FALSE(host.manager->expectedLoadEnd(a, host.now).has_value());
-    CHECK_EQUAL(1, host.engine.loadsBegun);
+    SidecarHarness harness(settingsFor(true), true);
+    harness.runFor(1s);
+    harness.manager->addWaiter(a, base::RequestId("1"), harness.now + 60s, harness.now);
+    harness.runFor(4s);
+    harness.manager->withdrawRow(a);
+    harness.withdrawn.insert(a);
+    CHECK_FALSE(harness.manager->mayRelease(a));
+    harness.runFor(20s);
+    CHECK_FALSE(harness.engine.isResident(a));
+    CHECK_EQUAL(0, harness.rows.count(a));
+    CHECK_FALSE(harness.manager->expectedLoadEnd(a, harness.now).has_value());
+    CHECK_EQUAL(1, harness.engine.loadsBegun);
 }
