--- a/bench/keepalive_replay.cpp
+++ b/bench/keepalive_replay.cpp
@@ -138,13 +138,13 @@
         for (int engine = 0; engine < engineCount; ++engine) {
             ResidencySettings settings { .capacity = base::Bytes(engineMemory), .fencing = true };
             m_engines.push_back(std::make_unique<ResidencyManager>(settings, makePolicy(), base::Epoch(1), base::Instant()));
-            std::vector<ModelFacts> facts;
+            std::vector<ModelSpec> specs;
             for (int model = 0; model < modelCount; ++model)
                 if (homeOf(model) == engine)
-                    facts.push_back({ idOf(model), modelOf(model).memory, loadTimeOf(model), std::nullopt });
-            m_engines.back()->setFacts(facts);
-            for (const auto& fact : facts)
-                m_engines.back()->grantRow(fact.model, base::Epoch(1));
+                    specs.push_back({ idOf(model), modelOf(model).memory, loadTimeOf(model), std::nullopt });
+            m_engines.back()->setModelSpecs(specs);
+            for (const auto& spec : specs)
+                m_engines.back()->grantRow(spec.model, base::Epoch(1));
             m_resident.emplace_back();
         }
     }
@@ -267,7 +267,7 @@
 
     bool mayLoad(int engine, int model, base::Instant deadline)
     {
-        auto permit = m_permits.ask({ base::UpstreamId(base::concat(engine)), idOf(model), PermitKind::Model, deadline, 1, loadTimeOf(model) }, m_now);
+        auto permit = m_permits.requestPermit({ base::UpstreamId(base::concat(engine)), idOf(model), PermitKind::Model, deadline, 1, loadTimeOf(model) }, m_now);
         if (permit)
             m_held[model] = permit->id;
         return permit.has_value();
@@ -285,7 +285,7 @@
             m_totals.loads += isCounted() ? 1 : 0;
             at(loadTimeOf(model), [this, model, id = order.id, &resident, &home] {
                 resident[idOf(model)] = EngineModelState::Ready;
-                m_permits.giveBack(m_held[model]);
+                m_permits.release(m_held[model]);
                 home.onOrderResult(id, OrderOutcome::Done, m_now);
                 serveWaiting(model);
                 tickWaitingEngines();
@@ -381,7 +381,7 @@
             describe("learnt", price, Replay(fleet, trace, [&] { return makeLearntKeepAlive({ .idleSecondsPerWaitSecond = price }); }).run()));
     for (auto price : { 1.0, 2.0, 4.0, 8.0, 16.0, 32.0 })
         report["runs"].push_back(describe("learnt_without_foresight", price,
-            Replay(fleet, trace, [&] { return makeLearntKeepAlive({ .idleSecondsPerWaitSecond = price, .regularity = 0 }); }).run()));
+            Replay(fleet, trace, [&] { return makeLearntKeepAlive({ .idleSecondsPerWaitSecond = price, .maximumRelativeDeviation = 0 }); }).run()));
     std::cout << report.dump(1) << "\n";
     return 0;
 }
