--- a/packages/assignments/fuzz/AssignmentValuesFuzz.cpp
+++ b/packages/assignments/fuzz/AssignmentValuesFuzz.cpp
@@ -1,8 +1,8 @@
 // Whatever bytes the key-value service gives, decoding ends with a value or an error, and a value that was decoded is
 // encoded to one that reads back as the same.
 
-#include "toucanstep/assignments/Electorate.h"
 #include "toucanstep/assignments/Row.h"
+#include "toucanstep/assignments/VoterSet.h"
 
 #include <cstdint>
 #include <cstdlib>
@@ -27,10 +27,10 @@
             std::abort();
     }
     entry.value = bytes;
-    if (auto electorates = valueOr(error, [&] { return decodeElectorates(entry); })) {
-        entry.value = encodeElectorates(*electorates);
-        auto again = valueOr(error, [&] { return decodeElectorates(entry); });
-        if (!again || !(again->current == electorates->current) || again->former != electorates->former)
+    if (auto voterSets = valueOr(error, [&] { return decodeVoterSets(entry); })) {
+        entry.value = encodeVoterSets(*voterSets);
+        auto again = valueOr(error, [&] { return decodeVoterSets(entry); });
+        if (!again || !(again->current == voterSets->current) || again->previous != voterSets->previous)
             std::abort();
     }
     return 0;
--- a/packages/assignments/include/toucanstep/assignments/AbsenceTracker.h
+++ b/packages/assignments/include/toucanstep/assignments/AbsenceTracker.h
@@ -2,14 +2,14 @@
 //
 // For each instance that holds rows, in this order: the list has dropped it; a majority of the voters has not heard it
 // for Timing::absence; a gone mark is written; a majority promises under that mark; then its rows may be taken, by
-// transactions that compare the mark and the electorates. Any newer answer of the list that shows the instance starts again.
+// transactions that compare the mark and the voterSets. Any newer answer of the list that shows the instance starts again.
 
 #pragma once
 
-#include "toucanstep/assignments/Electorate.h"
 #include "toucanstep/assignments/HolderState.h"
 #include "toucanstep/assignments/Row.h"
 #include "toucanstep/assignments/Timing.h"
+#include "toucanstep/assignments/VoterSet.h"
 #include "toucanstep/assignments/VoterState.h"
 
 #include <map>
@@ -35,8 +35,8 @@
 struct Clearance {
     base::InstanceId instance;
     base::Revision mark;
-    // The revision of the electorates whose majorities have promised.
-    base::Revision electorates;
+    // The revision of the voterSets whose majorities have promised.
+    base::Revision voterSets;
 };
 
 // Whether a row may be taken over. The baseline of leases that expire implements it as well.
@@ -56,7 +56,7 @@
 
     // One whole answer of the platform's list. An answer older than one already seen is left aside.
     void onListAnswer(Exchange, base::Instant now, std::optional<uint64_t> version, const std::set<base::InstanceId>& shown);
-    void onElectorates(const Electorates&, base::Instant now);
+    void onVoterSets(const VoterSets&, base::Instant now);
     // All marks as read from the service at that revision.
     void onMarks(base::Revision, const std::vector<GoneMark>&);
     // A voter's reply to this node's question about `instance`.
@@ -102,16 +102,16 @@
     virtual bool promisedByMajority(const Watched&, base::Instant now) const;
 
     const Timing& timing() const { return m_timing; }
-    const Electorates& electorates() const { return m_electorates; }
+    const VoterSets& voterSets() const { return m_voterSets; }
 
 private:
     AbsencePhase phaseOf(const Watched&, base::Instant now) const;
 
     Timing m_timing;
-    Electorates m_electorates;
-    // When this node first knew of this state of the electorates. A holder that counted votes of a set which has been
+    VoterSets m_voterSets;
+    // When this node first knew of this state of the voterSets. A holder that counted votes of a set which has been
     // retired since has stopped once Timing::absence has passed from here.
-    std::optional<base::Instant> m_electoratesSince;
+    std::optional<base::Instant> m_voterSetsSince;
     std::optional<uint64_t> m_newestVersion;
     std::optional<base::Instant> m_newestSentAt;
     base::Revision m_marksKnownAt;
--- a/packages/assignments/include/toucanstep/assignments/HolderState.h
+++ b/packages/assignments/include/toucanstep/assignments/HolderState.h
@@ -13,9 +13,9 @@
 
 #pragma once
 
-#include "toucanstep/assignments/Electorate.h"
 #include "toucanstep/assignments/Row.h"
 #include "toucanstep/assignments/Timing.h"
+#include "toucanstep/assignments/VoterSet.h"
 #include "toucanstep/base/Time.h"
 
 #include <map>
@@ -42,17 +42,17 @@
 
     const Holder& self() const { return m_self; }
 
-    // A read of the rows, the gone marks and the electorates that was answered at `now`. Its rows go into the
+    // A read of the rows, the gone marks and the voterSets that was answered at `now`. Its rows go into the
     // AssignmentTable first. The first such read allows use at all.
     // `marked`: whether a gone mark for this instance stood at that revision.
-    void onServiceRead(Exchange, base::Instant now, base::Revision, bool marked, const std::optional<Electorates>&);
+    void onServiceRead(Exchange, base::Instant now, base::Revision, bool marked, const std::optional<VoterSets>&);
     // An answer of the platform's list. `version` is its resource version where it has one. An answer older than one
     // that was already seen is left aside.
     void onListAnswer(Exchange, base::Instant now, std::optional<uint64_t> version, bool showsSelf);
     // A gateway's answer to this process: it heard us, and vouches for us under that generation or refuses to.
     void onVoterAnswer(Exchange, base::Instant now, const base::InstanceId& voter, Generation, bool vouches);
     // A newer set of voters, learned from a gateway.
-    void onElectorate(const Electorate&);
+    void onVoterSet(const VoterSet&);
 
     // Gives the row up for good, before its release or handover is sent: a release whose answer was lost may take
     // effect at any later time. Only a later revision of the row makes it usable again.
@@ -99,7 +99,7 @@
     std::optional<base::Instant> m_newestListAnswer;
     // When use ended because nothing was heard; only proofs that were asked for later bring it back.
     std::optional<base::Instant> m_lapsedAt;
-    Electorate m_electorate;
+    VoterSet m_voterSet;
     std::map<base::InstanceId, base::Instant> m_vouchedAt;
     std::map<RowKey, base::Revision> m_relinquished;
 };
--- a/packages/assignments/include/toucanstep/assignments/Timing.h
+++ b/packages/assignments/include/toucanstep/assignments/Timing.h
@@ -16,7 +16,7 @@
     base::Duration absence = std::chrono::seconds(6);
     // The oldest state that an answer of the platform's list may show.
     base::Duration listLag = std::chrono::seconds(10);
-    // How long a voter goes on vouching after the list last showed it. A dropped member of a former electorate that has
+    // How long a voter goes on vouching after the list last showed it. A dropped member of a former voterSet that has
     // been absent for longer (and the list's lag) has stopped vouching, wherever it is.
     base::Duration voterLimit = std::chrono::minutes(10);
     // The most by which a monotonic clock runs fast or slow, in parts of a million.
--- a/packages/assignments/include/toucanstep/assignments/Electorate.h
+++ b/packages/assignments/include/toucanstep/assignments/VoterSet.h
@@ -19,34 +19,34 @@
 
 using Generation = base::StrongNumber<struct GenerationTag>;
 
-struct Electorate {
+struct VoterSet {
     Generation generation;
     std::set<base::InstanceId> members;
 
     size_t majority() const { return members.size() / 2 + 1; }
-    friend bool operator==(const Electorate&, const Electorate&) = default;
+    friend bool operator==(const VoterSet&, const VoterSet&) = default;
 };
 
-struct Electorates {
-    Electorate current;
+struct VoterSets {
+    VoterSet current;
     // The former set, until it is retired.
-    std::optional<Electorate> former;
+    std::optional<VoterSet> previous;
     // The revision that wrote the entry; zero where there is none yet.
     base::Revision modified;
 };
 
-inline constexpr std::string_view electoratesKey = "/toucanstep/electorate";
+inline constexpr std::string_view voterSetsKey = "/toucanstep/electorate";
 
-std::string encodeElectorates(const Electorates&);
-base::Result<Electorates> decodeElectorates(const base::KeyValue&);
+std::string encodeVoterSets(const VoterSets&);
+base::Result<VoterSets> decodeVoterSets(const base::KeyValue&);
 
 // The transaction that makes `members` the current set, or nothing while a former set is still kept.
-std::optional<base::Transaction> changeElectorate(const Electorates&, const std::set<base::InstanceId>& members);
+std::optional<base::Transaction> changeVoterSet(const VoterSets&, const std::set<base::InstanceId>& members);
 // The transaction that drops the former set, once a majority of its members is in `promised`: members that said they
 // know the current generation, or that the list has dropped for longer than a voter vouches without it.
-std::optional<base::Transaction> retireFormer(const Electorates&, const std::set<base::InstanceId>& promised);
+std::optional<base::Transaction> retirePrevious(const VoterSets&, const std::set<base::InstanceId>& promised);
 
 // Whether `who` holds a majority of each set that is kept.
-bool isMajorityOfAll(const Electorates&, const std::set<base::InstanceId>& who);
+bool isMajorityOfEachSet(const VoterSets&, const std::set<base::InstanceId>& who);
 
 } // namespace toucanstep::assignments
--- a/packages/assignments/include/toucanstep/assignments/VoterState.h
+++ b/packages/assignments/include/toucanstep/assignments/VoterState.h
@@ -7,8 +7,8 @@
 
 #pragma once
 
-#include "toucanstep/assignments/Electorate.h"
 #include "toucanstep/assignments/Timing.h"
+#include "toucanstep/assignments/VoterSet.h"
 #include "toucanstep/base/Time.h"
 
 #include <map>
@@ -38,10 +38,10 @@
 public:
     VoterState(base::InstanceId self, Timing, base::Instant startedAt);
 
-    // A read of the marks, at that revision, and of the electorates, by requests sent after this process started. The voter
-    // takes its electorate from nowhere else, and electorates that were written after the marks were read are left for the
+    // A read of the marks, at that revision, and of the voterSets, by requests sent after this process started. The voter
+    // takes its voterSet from nowhere else, and voterSets that were written after the marks were read are left for the
     // next read: only so does it know every mark that stood when it became a member.
-    void onServiceRead(base::Revision, const std::vector<GoneMark>&, const std::optional<Electorates>&);
+    void onServiceRead(base::Revision, const std::vector<GoneMark>&, const std::optional<VoterSets>&);
     // The platform's list showed this voter, by a request sent at `sentAt`.
     void onListed(base::Instant sentAt);
 
@@ -50,8 +50,8 @@
     // A taker asks, with the revision of the gone mark once it stands.
     VoterReply onQuestion(const base::InstanceId&, base::Revision mark, base::Instant now);
 
-    Generation generation() const { return m_electorate.generation; }
-    const Electorate& electorate() const { return m_electorate; }
+    Generation generation() const { return m_voterSet.generation; }
+    const VoterSet& voterSet() const { return m_voterSet; }
 
 private:
     void forgetOld(base::Instant now);
@@ -64,7 +64,7 @@
     bool m_hasRead = false;
     base::Revision m_marksRead;
     std::optional<base::Instant> m_listedAt;
-    Electorate m_electorate;
+    VoterSet m_voterSet;
     std::map<base::InstanceId, base::Instant> m_vouchedAt;
     std::map<base::InstanceId, base::Revision> m_promised;
 };
--- a/packages/assignments/src/AbsenceTracker.cpp
+++ b/packages/assignments/src/AbsenceTracker.cpp
@@ -50,13 +50,13 @@
     }
 }
 
-void AbsenceTracker::onElectorates(const Electorates& electorates, Instant now)
+void AbsenceTracker::onVoterSets(const VoterSets& voterSets, Instant now)
 {
-    bool newer = !m_electoratesSince || electorates.modified > m_electorates.modified;
+    bool newer = !m_voterSetsSince || voterSets.modified > m_voterSets.modified;
     if (!newer)
         return;
-    m_electorates = electorates;
-    m_electoratesSince = now;
+    m_voterSets = voterSets;
+    m_voterSetsSince = now;
 }
 
 void AbsenceTracker::onMarks(base::Revision revision, const std::vector<GoneMark>& marks)
@@ -106,7 +106,7 @@
         if (recent && heard.reply.unheard >= m_timing.absence)
             unheard.insert(voter);
     }
-    return isMajorityOfAll(m_electorates, unheard);
+    return isMajorityOfEachSet(m_voterSets, unheard);
 }
 
 bool AbsenceTracker::promisedByMajority(const Watched& watched, Instant now) const
@@ -118,7 +118,7 @@
         if (heard.reply.promisedUnder == watched.mark && now >= endsAt)
             stopped.insert(voter);
     }
-    return isMajorityOfAll(m_electorates, stopped);
+    return isMajorityOfEachSet(m_voterSets, stopped);
 }
 
 AbsencePhase AbsenceTracker::phaseOf(const Watched& watched, Instant now) const
@@ -129,8 +129,8 @@
         return AbsencePhase::Absent;
     if (watched.mark == base::Revision())
         return unheardByMajority(watched, now) ? AbsencePhase::MarkNeeded : AbsencePhase::Absent;
-    bool electoratesStood = m_electoratesSince && now >= *m_electoratesSince + m_timing.absence;
-    return electoratesStood && promisedByMajority(watched, now) ? AbsencePhase::Cleared : AbsencePhase::Marked;
+    bool voterSetsStable = m_voterSetsSince && now >= *m_voterSetsSince + m_timing.absence;
+    return voterSetsStable && promisedByMajority(watched, now) ? AbsencePhase::Cleared : AbsencePhase::Marked;
 }
 
 AbsencePhase AbsenceTracker::phase(const base::InstanceId& instance, Instant now) const
@@ -160,7 +160,7 @@
 {
     if (phase(instance, now) != AbsencePhase::Cleared)
         return std::nullopt;
-    return Clearance { instance, markOf(instance), m_electorates.modified };
+    return Clearance { instance, markOf(instance), m_voterSets.modified };
 }
 
 bool AbsenceTracker::mayTake(const Row& row, Instant now) const
--- a/packages/assignments/src/HolderState.cpp
+++ b/packages/assignments/src/HolderState.cpp
@@ -14,7 +14,7 @@
 {
 }
 
-void HolderState::onServiceRead(Exchange exchange, Instant now, base::Revision revision, bool marked, const std::optional<Electorates>& electorates)
+void HolderState::onServiceRead(Exchange exchange, Instant now, base::Revision revision, bool marked, const std::optional<VoterSets>& voterSets)
 {
     // An answer after its deadline may have lain anywhere meanwhile; nothing is concluded from it.
     if (now > exchange.deadline || revision < m_markKnownAt)
@@ -22,8 +22,8 @@
     m_markKnownAt = revision;
     m_marked = marked;
     m_readSentAt = m_readSentAt ? std::max(*m_readSentAt, exchange.sentAt) : exchange.sentAt;
-    if (electorates)
-        onElectorate(electorates->current);
+    if (voterSets)
+        onVoterSet(voterSets->current);
     if (m_marked) {
         // The rows may move from here on, and a mark that is lifted later does not bring them back.
         m_hasRead = false;
@@ -54,7 +54,7 @@
 {
     // A voter that knows a later set has promised not to vouch under this one. One that knows only a former set may lack
     // marks that were written before it became a member of this one.
-    bool counts = vouches && now <= exchange.deadline && generation == m_electorate.generation && m_electorate.members.count(voter);
+    bool counts = vouches && now <= exchange.deadline && generation == m_voterSet.generation && m_voterSet.members.count(voter);
     if (!counts)
         return;
     Instant continuous = continuousUntil();
@@ -66,11 +66,11 @@
         endLapse(*evidence);
 }
 
-void HolderState::onElectorate(const Electorate& electorate)
+void HolderState::onVoterSet(const VoterSet& voterSet)
 {
-    if (electorate.generation <= m_electorate.generation)
+    if (voterSet.generation <= m_voterSet.generation)
         return;
-    m_electorate = electorate;
+    m_voterSet = voterSet;
     // Votes that were given for the former set do not make a majority of this one.
     m_vouchedAt.clear();
 }
@@ -80,9 +80,9 @@
     std::vector<Instant> sent;
     for (const auto& [voter, sentAt] : m_vouchedAt)
         sent.push_back(sentAt);
-    if (m_electorate.members.empty() || sent.size() < m_electorate.majority())
+    if (m_voterSet.members.empty() || sent.size() < m_voterSet.majority())
         return std::nullopt;
-    auto needed = sent.begin() + static_cast<std::ptrdiff_t>(m_electorate.majority()) - 1;
+    auto needed = sent.begin() + static_cast<std::ptrdiff_t>(m_voterSet.majority()) - 1;
     std::nth_element(sent.begin(), needed, sent.end(), std::greater<>());
     return *needed;
 }
--- a/packages/assignments/src/Mover.cpp
+++ b/packages/assignments/src/Mover.cpp
@@ -83,7 +83,7 @@
     Row taken { .key = row.key, .holder = to, .epoch = nextEpoch(read), .payload = std::move(payload) };
     // The proof that the holder has stopped was gathered under this mark and these voters, and is good only with them.
     return write(MoveKind::TakeOver, std::move(taken), row.modified,
-        { { goneMarkKey(clearance.instance), clearance.mark }, { std::string(electoratesKey), clearance.electorates } });
+        { { goneMarkKey(clearance.instance), clearance.mark }, { std::string(voterSetsKey), clearance.voterSets } });
 }
 
 Move Mover::handOver(const Row& row, HolderState& holder, const Holder& to, base::Revision read)
--- a/packages/assignments/src/VoterState.cpp
+++ b/packages/assignments/src/VoterState.cpp
@@ -13,15 +13,15 @@
 {
 }
 
-void VoterState::onServiceRead(base::Revision revision, const std::vector<GoneMark>& marks, const std::optional<Electorates>& electorates)
+void VoterState::onServiceRead(base::Revision revision, const std::vector<GoneMark>& marks, const std::optional<VoterSets>& voterSets)
 {
     if (m_hasRead && revision < m_marksRead)
         return;
     m_hasRead = true;
     m_marksRead = revision;
-    bool covered = electorates && electorates->modified <= revision;
-    if (covered && electorates->current.generation > m_electorate.generation)
-        m_electorate = electorates->current;
+    bool covered = voterSets && voterSets->modified <= revision;
+    if (covered && voterSets->current.generation > m_voterSet.generation)
+        m_voterSet = voterSets->current;
     // A promise for a mark that was written after this read stands; of the others the read tells which marks are left.
     for (auto promise = m_promised.begin(); promise != m_promised.end();)
         promise = promise->second <= revision ? m_promised.erase(promise) : std::next(promise);
--- a/packages/assignments/test/FleetModel.cpp
+++ b/packages/assignments/test/FleetModel.cpp
@@ -54,7 +54,7 @@
     VoterState voter;
     LeaseExpiryUse leaseUse;
     LeaseExpiryTake leaseTake;
-    Electorates electorates;
+    VoterSets voterSets;
     std::set<InstanceId> listed;
     std::map<InstanceId, Generation> generations;
     std::map<InstanceId, base::Revision> leases;
@@ -288,7 +288,7 @@
     askVoters(process);
     moveRows(process);
     if (m_options.rule == RowRule::ListAndVoters)
-        maintainElectorate(process);
+        maintainVoterSet(process);
 }
 
 // Marks and rows are read by two requests that are sent together, and may show two revisions.
@@ -320,11 +320,11 @@
             marks.push_back({ *marked, entry.modified });
     }
     base::RangeReply rows { {}, reply.revision };
-    std::optional<Electorates> electorates;
+    std::optional<VoterSets> voterSets;
     for (const auto& entry : reply.entries) {
         base::Error error;
-        if (entry.key == electoratesKey)
-            electorates = base::valueOr(error, [&] { return decodeElectorates(entry); });
+        if (entry.key == voterSetsKey)
+            voterSets = base::valueOr(error, [&] { return decodeVoterSets(entry); });
         else if (entry.key.rfind("/lease/", 0) == 0) {
             InstanceId owner(entry.key.substr(7));
             self.leaseTake.onLeaseSeen(owner, std::stoull(entry.value), now);
@@ -336,25 +336,25 @@
     self.hasRead = true;
     self.table.applyRange(allRowsPrefix, rows);
     bool marked = std::any_of(marks.begin(), marks.end(), [&](const GoneMark& mark) { return mark.instance == self.instance(); });
-    self.holder->onServiceRead(exchange, now, marksReply.revision, marked, electorates);
-    self.voter.onServiceRead(marksReply.revision, marks, electorates);
+    self.holder->onServiceRead(exchange, now, marksReply.revision, marked, voterSets);
+    self.voter.onServiceRead(marksReply.revision, marks, voterSets);
     self.tracker->onMarks(marksReply.revision, marks);
-    if (electorates)
-        learnElectorates(self, *electorates);
+    if (voterSets)
+        learnVoterSets(self, *voterSets);
     for (const auto& row : self.table.all())
         self.tracker->watch(row.holder.instance, now);
 }
 
-void Fleet::learnElectorates(Process& self, const Electorates& electorates)
+void Fleet::learnVoterSets(Process& self, const VoterSets& voterSets)
 {
     Instant now = self.local(m_now);
-    self.electorates = electorates;
-    self.tracker->onElectorates(electorates, now);
-    for (const auto& member : electorates.current.members)
+    self.voterSets = voterSets;
+    self.tracker->onVoterSets(voterSets, now);
+    for (const auto& member : voterSets.current.members)
         self.tracker->watch(member, now);
-    if (!electorates.former)
+    if (!voterSets.previous)
         return;
-    for (const auto& member : electorates.former->members)
+    for (const auto& member : voterSets.previous->members)
         self.tracker->watch(member, now);
 }
 
@@ -409,9 +409,9 @@
 {
     Instant sentAt = process.local(m_now);
     Exchange exchange { sentAt, sentAt + callTimeout };
-    std::set<InstanceId> voters = process.electorates.current.members;
-    if (process.electorates.former)
-        voters.insert(process.electorates.former->members.begin(), process.electorates.former->members.end());
+    std::set<InstanceId> voters = process.voterSets.current.members;
+    if (process.voterSets.previous)
+        voters.insert(process.voterSets.previous->members.begin(), process.voterSets.previous->members.end());
     auto absent = process.tracker->toAsk(sentAt);
     for (const auto& voter : voters) {
         Process* target = reach(process, voter);
@@ -421,12 +421,12 @@
         InstanceId instance = process.instance();
         deliver(sharedOf(*target), m_now + hop(), [this, asker, exchange, instance](Process& self) {
             bool vouches = self.voter.vouchFor(instance, self.local(m_now));
-            Electorate electorate = self.voter.electorate();
+            VoterSet voterSet = self.voter.voterSet();
             InstanceId from = self.instance();
-            deliver(asker, m_now + hop(), [this, exchange, vouches, electorate, from](Process& holder) {
-                holder.holder->onElectorate(electorate);
-                holder.holder->onVoterAnswer(exchange, holder.local(m_now), from, electorate.generation, vouches);
-                holder.generations[from] = std::max(holder.generations[from], electorate.generation);
+            deliver(asker, m_now + hop(), [this, exchange, vouches, voterSet, from](Process& holder) {
+                holder.holder->onVoterSet(voterSet);
+                holder.holder->onVoterAnswer(exchange, holder.local(m_now), from, voterSet.generation, vouches);
+                holder.generations[from] = std::max(holder.generations[from], voterSet.generation);
             });
         });
         for (const auto& gone : absent) {
@@ -487,20 +487,20 @@
         send(process, process.mover.liftMark({ process.instance(), process.tracker->markOf(process.instance()) }), false);
 }
 
-void Fleet::maintainElectorate(Process& process)
+void Fleet::maintainVoterSet(Process& process)
 {
     if (!process.hasRead || process.listed.size() < m_options.voters)
         return;
     Instant now = process.local(m_now);
-    const auto& known = process.electorates;
-    if (known.former) {
+    const auto& known = process.voterSets;
+    if (known.previous) {
         std::set<InstanceId> promised;
-        for (const auto& member : known.former->members) {
+        for (const auto& member : known.previous->members) {
             bool knows = process.generations[member] >= known.current.generation;
             if (knows || process.tracker->hasStoppedVouching(member, now))
                 promised.insert(member);
         }
-        if (auto transaction = retireFormer(known, promised))
+        if (auto transaction = retirePrevious(known, promised))
             commit(process, *transaction, [](Process&, const auto&) {});
         return;
     }
@@ -513,7 +513,7 @@
         if (members.size() < m_options.voters)
             members.insert(candidate);
     }
-    if (auto transaction = changeElectorate(known, members))
+    if (auto transaction = changeVoterSet(known, members))
         commit(process, *transaction, [](Process&, const auto&) {});
 }
 
--- a/packages/assignments/test/FleetModel.h
+++ b/packages/assignments/test/FleetModel.h
@@ -135,11 +135,11 @@
     void beat(Process&);
     void readService(Process&);
     void onServiceRead(Process&, Exchange, const base::RangeReply& marks, const base::RangeReply& rows);
-    void learnElectorates(Process&, const Electorates&);
+    void learnVoterSets(Process&, const VoterSets&);
     void readList(Process&);
     void askVoters(Process&);
     void moveRows(Process&);
-    void maintainElectorate(Process&);
+    void maintainVoterSet(Process&);
     void renewLease(Process&);
     void send(Process&, const Move&, bool takesOver);
     void commit(Process&, const base::Transaction&, std::function<void(Process&, const base::Outcome<base::TransactionReply>&)>);
--- a/packages/assignments/test/UnitTest.cpp
+++ b/packages/assignments/test/UnitTest.cpp
@@ -27,7 +27,7 @@
     return { at(time), at(time + seconds(1)) };
 }
 
-Electorates electoratesOf(const std::set<InstanceId>& members)
+VoterSets voterSetsOf(const std::set<InstanceId>& members)
 {
     return { { Generation(1), members }, std::nullopt, Revision(3) };
 }
@@ -183,7 +183,7 @@
 {
     HolderState holder(self, Timing {});
     Row row { share, self, Epoch(4), WriteNonce("n"), "", Revision(4) };
-    holder.onServiceRead(sentAt({}), at({}), Revision(4), false, electoratesOf(threeVoters));
+    holder.onServiceRead(sentAt({}), at({}), Revision(4), false, voterSetsOf(threeVoters));
     holder.onListAnswer(sentAt({}), at({}), 1, true);
     CHECK_TRUE(holder.mayUse(row, at(seconds(5))));
     holder.onListAnswer(sentAt(seconds(30)), at(seconds(30)), 2, true);
@@ -220,7 +220,7 @@
 {
     HolderState holder(self, Timing {});
     Row row { share, self, Epoch(4), WriteNonce("n"), "", Revision(4) };
-    holder.onServiceRead(sentAt({}), at({}), Revision(4), false, electoratesOf(threeVoters));
+    holder.onServiceRead(sentAt({}), at({}), Revision(4), false, voterSetsOf(threeVoters));
     holder.onVoterAnswer(sentAt({}), at({}), InstanceId("x"), Generation(1), true);
     holder.onVoterAnswer(sentAt({}), at({}), InstanceId("y"), Generation(2), true);
     CHECK_FALSE(holder.mayUse(row, at({})));
@@ -234,8 +234,8 @@
 {
     HolderState holder(self, Timing {});
     Row row { share, self, Epoch(4), WriteNonce("n"), "", Revision(4) };
-    holder.onServiceRead(sentAt({}), at({}), Revision(4), false, electoratesOf(threeVoters));
-    holder.onElectorate({ Generation(2), { InstanceId("p"), InstanceId("q"), InstanceId("r") } });
+    holder.onServiceRead(sentAt({}), at({}), Revision(4), false, voterSetsOf(threeVoters));
+    holder.onVoterSet({ Generation(2), { InstanceId("p"), InstanceId("q"), InstanceId("r") } });
     holder.onVoterAnswer(sentAt({}), at({}), InstanceId("p"), Generation(1), true);
     holder.onVoterAnswer(sentAt({}), at({}), InstanceId("q"), Generation(0), true);
     CHECK_FALSE(holder.mayUse(row, at({})));
@@ -261,7 +261,7 @@
     VoterState voter(InstanceId("x"), Timing {}, at({}));
     voter.onListed(at({}));
     CHECK_FALSE(voter.vouchFor(InstanceId("a"), at(seconds(1))));
-    voter.onServiceRead(Revision(8), { { InstanceId("a"), Revision(7) } }, electoratesOf(threeVoters));
+    voter.onServiceRead(Revision(8), { { InstanceId("a"), Revision(7) } }, voterSetsOf(threeVoters));
     CHECK_FALSE(voter.vouchFor(InstanceId("a"), at(seconds(1))));
     CHECK_TRUE(voter.vouchFor(InstanceId("b"), at(seconds(1))));
 }
@@ -272,27 +272,27 @@
 {
     VoterState voter(InstanceId("x"), Timing {}, at({}));
     voter.onListed(at({}));
-    voter.onServiceRead(Revision(5), {}, electoratesOf(threeVoters));
+    voter.onServiceRead(Revision(5), {}, voterSetsOf(threeVoters));
     CHECK_TRUE(voter.vouchFor(InstanceId("a"), at(seconds(1))));
     VoterReply reply = voter.onQuestion(InstanceId("a"), Revision(7), at(seconds(3)));
     CHECK_EQUAL(7, reply.promisedUnder.value());
     CHECK_TRUE(reply.unheard == seconds(2));
-    voter.onServiceRead(Revision(6), {}, electoratesOf(threeVoters));
+    voter.onServiceRead(Revision(6), {}, voterSetsOf(threeVoters));
     CHECK_FALSE(voter.vouchFor(InstanceId("a"), at(seconds(4))));
-    voter.onServiceRead(Revision(9), {}, electoratesOf(threeVoters));
+    voter.onServiceRead(Revision(9), {}, voterSetsOf(threeVoters));
     CHECK_TRUE(voter.vouchFor(InstanceId("a"), at(seconds(5))));
 }
 
-// The marks and the electorates are read by two requests, and between them a mark is written and this gateway becomes a
+// The marks and the voterSets are read by two requests, and between them a mark is written and this gateway becomes a
 // voter. It does not know the mark; were its vote to count at once, it would vouch for the instance whose rows move.
-TEST(Voting, AnElectorateNewerThanTheMarksIsLeftForTheNextRead)
+TEST(Voting, VoterSetsNewerThanTheMarksAreLeftForTheNextRead)
 {
     VoterState voter(InstanceId("x"), Timing {}, at({}));
     voter.onListed(at({}));
-    Electorates electorates = electoratesOf(threeVoters);
-    voter.onServiceRead(Revision(2), {}, electorates);
+    VoterSets voterSets = voterSetsOf(threeVoters);
+    voter.onServiceRead(Revision(2), {}, voterSets);
     CHECK_TRUE(voter.generation() == Generation(0));
-    voter.onServiceRead(Revision(3), {}, electorates);
+    voter.onServiceRead(Revision(3), {}, voterSets);
     CHECK_TRUE(voter.generation() == Generation(1));
 }
 
@@ -336,17 +336,17 @@
 // gateways and a taker that asks the new ones would each have a majority.
 TEST(Electing, AFormerSetIsKeptUntilItsMajorityHasPromised)
 {
-    Electorates known = electoratesOf(threeVoters);
+    VoterSets known = voterSetsOf(threeVoters);
     std::set<InstanceId> next { InstanceId("p"), InstanceId("q"), InstanceId("r") };
-    auto change = changeElectorate(known, next);
+    auto change = changeVoterSet(known, next);
     CHECK_TRUE(change.has_value());
     Error error;
     const auto& put = std::get<PutOperation>(change->operations[0]);
-    auto changed = valueOr(error, [&] { return decodeElectorates(KeyValue { put.key, put.value, {}, Revision(4) }); });
-    CHECK_TRUE(changed && changed->current.members == next && changed->former == known.current);
-    CHECK_FALSE(isMajorityOfAll(*changed, next));
-    CHECK_TRUE(isMajorityOfAll(*changed, { InstanceId("x"), InstanceId("y"), InstanceId("p"), InstanceId("q") }));
-    CHECK_FALSE(changeElectorate(*changed, threeVoters).has_value());
-    CHECK_FALSE(retireFormer(*changed, { InstanceId("x") }).has_value());
-    CHECK_TRUE(retireFormer(*changed, { InstanceId("x"), InstanceId("z") }).has_value());
+    auto changed = valueOr(error, [&] { return decodeVoterSets(KeyValue { put.key, put.value, {}, Revision(4) }); });
+    CHECK_TRUE(changed && changed->current.members == next && changed->previous == known.current);
+    CHECK_FALSE(isMajorityOfEachSet(*changed, next));
+    CHECK_TRUE(isMajorityOfEachSet(*changed, { InstanceId("x"), InstanceId("y"), InstanceId("p"), InstanceId("q") }));
+    CHECK_FALSE(changeVoterSet(*changed, threeVoters).has_value());
+    CHECK_FALSE(retirePrevious(*changed, { InstanceId("x") }).has_value());
+    CHECK_TRUE(retirePrevious(*changed, { InstanceId("x"), InstanceId("z") }).has_value());
 }
--- a/packages/node/include/toucanstep/node/AssignmentAgent.h
+++ b/packages/node/include/toucanstep/node/AssignmentAgent.h
@@ -124,7 +124,7 @@
     assignments::HolderState m_holder;
     assignments::VoterState m_voter;
     assignments::Mover m_mover;
-    assignments::Electorates m_electorates;
+    assignments::VoterSets m_electorates;
     // One for each name of the platform's list: an answer says nothing about instances under other names.
     std::map<std::string, assignments::AbsenceTracker> m_trackers;
     std::map<assignments::MoveId, PendingMove> m_moves;
--- a/packages/node/src/AssignmentAgent.cpp
+++ b/packages/node/src/AssignmentAgent.cpp
@@ -164,7 +164,7 @@
     else
         m_node.store().list(std::string(allRowsPrefix), reading->deadline, collect(reading, &Reading::rows));
     m_node.store().list(std::string(goneMarksPrefix), reading->deadline, collect(reading, &Reading::marks));
-    m_node.store().get(std::string(electoratesKey), reading->deadline, collect(reading, &Reading::electorate));
+    m_node.store().get(std::string(voterSetsKey), reading->deadline, collect(reading, &Reading::electorate));
 }
 
 template <typename Reply>
@@ -220,10 +220,10 @@
         m_marks.push_back({ *instance, entry.modified });
         selfMarked = selfMarked || *instance == m_self.instance;
     }
-    std::optional<Electorates> electorates;
+    std::optional<VoterSets> electorates;
     if (!m_reading->electorate->entries.empty()) {
         base::Error error;
-        electorates = base::valueOr(error, [&] { return decodeElectorates(m_reading->electorate->entries.front()); });
+        electorates = base::valueOr(error, [&] { return decodeVoterSets(m_reading->electorate->entries.front()); });
     }
     if (electorates && electorates->modified > m_electorates.modified)
         m_electorates = *electorates;
@@ -232,7 +232,7 @@
     m_holder.onServiceRead({ sentAt, deadline }, now, marksRevision, selfMarked, electorates);
     m_voter.onServiceRead(marksRevision, m_marks, electorates);
     for (auto& [name, tracker] : m_trackers) {
-        tracker.onElectorates(m_electorates, now);
+        tracker.onVoterSets(m_electorates, now);
         tracker.onMarks(marksRevision, m_marks);
     }
     m_hasRead = true;
@@ -289,8 +289,8 @@
 std::set<base::InstanceId> AssignmentAgent::knownVoters() const
 {
     std::set<base::InstanceId> voters = m_electorates.current.members;
-    if (m_electorates.former)
-        voters.insert(m_electorates.former->members.begin(), m_electorates.former->members.end());
+    if (m_electorates.previous)
+        voters.insert(m_electorates.previous->members.begin(), m_electorates.previous->members.end());
     return voters;
 }
 
@@ -362,7 +362,7 @@
 {
     auto [found, isNew] = m_trackers.try_emplace(listName, m_options.timing);
     if (isNew)
-        found->second.onElectorates(m_electorates, m_node.control().now());
+        found->second.onVoterSets(m_electorates, m_node.control().now());
     return found->second;
 }
 
@@ -458,9 +458,9 @@
         return;
     for (const base::InstanceId& voter : knownVoters())
         track(voter, std::string(gatewayListName), now);
-    if (m_electorates.former) {
+    if (m_electorates.previous) {
         std::set<base::InstanceId> promised;
-        for (const base::InstanceId& voter : m_electorates.former->members) {
+        for (const base::InstanceId& voter : m_electorates.previous->members) {
             bool knows = voter == m_self.instance ? m_voter.generation() >= m_electorates.current.generation : m_voterGenerations[voter] >= m_electorates.current.generation;
             if (knows || trackerOf(std::string(gatewayListName)).hasStoppedVouching(voter, now))
                 promised.insert(voter);
@@ -480,7 +480,7 @@
                 });
             }
         }
-        if (auto transaction = retireFormer(m_electorates, promised))
+        if (auto transaction = retirePrevious(m_electorates, promised))
             commitVoters(std::move(*transaction));
         return;
     }
@@ -494,7 +494,7 @@
         if (members.size() < m_options.voters)
             members.insert(candidate);
     }
-    if (auto transaction = changeElectorate(m_electorates, members))
+    if (auto transaction = changeVoterSet(m_electorates, members))
         commitVoters(std::move(*transaction));
 }
 
