--- a/packages/assignments/include/toucanstep/assignments/AbsenceTracker.h
+++ b/packages/assignments/include/toucanstep/assignments/FailureDetector.h
@@ -46,9 +46,9 @@
     virtual bool mayTake(const Row&, base::Instant now) const = 0;
 };
 
-class AbsenceTracker : public TakeRule {
+class FailureDetector : public TakeRule {
 public:
-    explicit AbsenceTracker(Timing);
+    explicit FailureDetector(Timing);
 
     // Instances whose rows this node would take if they were gone; the others are not tracked.
     void watch(const base::InstanceId&, base::Instant now);
--- a/packages/assignments/include/toucanstep/assignments/LeaseExpiry.h
+++ b/packages/assignments/include/toucanstep/assignments/LeaseExpiry.h
@@ -5,7 +5,7 @@
 
 #pragma once
 
-#include "toucanstep/assignments/AbsenceTracker.h"
+#include "toucanstep/assignments/FailureDetector.h"
 #include "toucanstep/assignments/HolderState.h"
 
 namespace toucanstep::assignments {
--- a/packages/assignments/include/toucanstep/assignments/Mover.h
+++ b/packages/assignments/include/toucanstep/assignments/Mover.h
@@ -11,7 +11,7 @@
 
 #pragma once
 
-#include "toucanstep/assignments/AbsenceTracker.h"
+#include "toucanstep/assignments/FailureDetector.h"
 #include "toucanstep/assignments/HolderState.h"
 #include "toucanstep/assignments/Row.h"
 #include "toucanstep/base/KeyValue.h"
--- a/packages/assignments/src/AbsenceTracker.cpp
+++ b/packages/assignments/src/FailureDetector.cpp
@@ -1,4 +1,4 @@
-#include "toucanstep/assignments/AbsenceTracker.h"
+#include "toucanstep/assignments/FailureDetector.h"
 
 #include <algorithm>
 
@@ -6,12 +6,12 @@
 
 using base::Instant;
 
-AbsenceTracker::AbsenceTracker(Timing timing)
+FailureDetector::FailureDetector(Timing timing)
     : m_timing(timing)
 {
 }
 
-void AbsenceTracker::watch(const base::InstanceId& instance, Instant now)
+void FailureDetector::watch(const base::InstanceId& instance, Instant now)
 {
     Watched watched;
     watched.watchedAt = now;
@@ -19,12 +19,12 @@
     m_watched.emplace(instance, watched);
 }
 
-void AbsenceTracker::forget(const base::InstanceId& instance)
+void FailureDetector::forget(const base::InstanceId& instance)
 {
     m_watched.erase(instance);
 }
 
-void AbsenceTracker::onListAnswer(Exchange exchange, Instant now, std::optional<uint64_t> version, const std::set<base::InstanceId>& shown)
+void FailureDetector::onListAnswer(Exchange exchange, Instant now, std::optional<uint64_t> version, const std::set<base::InstanceId>& shown)
 {
     if (now > exchange.deadline)
         return;
@@ -50,7 +50,7 @@
     }
 }
 
-void AbsenceTracker::onVoterSets(const VoterSets& voterSets, Instant now)
+void FailureDetector::onVoterSets(const VoterSets& voterSets, Instant now)
 {
     bool newer = !m_voterSetsSince || voterSets.modified > m_voterSets.modified;
     if (!newer)
@@ -59,7 +59,7 @@
     m_voterSetsSince = now;
 }
 
-void AbsenceTracker::onMarks(base::Revision revision, const std::vector<GoneMark>& marks)
+void FailureDetector::onMarks(base::Revision revision, const std::vector<GoneMark>& marks)
 {
     if (revision < m_marksKnownAt)
         return;
@@ -73,7 +73,7 @@
     }
 }
 
-void AbsenceTracker::onVoterReply(Exchange exchange, Instant now, const base::InstanceId& instance, const VoterReply& reply)
+void FailureDetector::onVoterReply(Exchange exchange, Instant now, const base::InstanceId& instance, const VoterReply& reply)
 {
     auto found = m_watched.find(instance);
     if (found == m_watched.end() || now > exchange.deadline)
@@ -86,19 +86,19 @@
         replies[reply.voter] = Heard { reply, now };
 }
 
-bool AbsenceTracker::isDropped(const Watched& watched) const
+bool FailureDetector::isDropped(const Watched& watched) const
 {
     if (!watched.absentSince)
         return false;
     return watched.dropped || watched.absentAskedAt > *watched.absentSince + m_timing.listLag;
 }
 
-bool AbsenceTracker::absenceStood(const Watched& watched, Instant now) const
+bool FailureDetector::absenceStood(const Watched& watched, Instant now) const
 {
     return watched.absentSince && now > *watched.absentSince + absenceFromList(m_timing);
 }
 
-bool AbsenceTracker::unheardByMajority(const Watched& watched, Instant now) const
+bool FailureDetector::unheardByMajority(const Watched& watched, Instant now) const
 {
     std::set<base::InstanceId> unheard;
     for (const auto& [voter, heard] : watched.replies) {
@@ -109,7 +109,7 @@
     return isMajorityOfEachSet(m_voterSets, unheard);
 }
 
-bool AbsenceTracker::promisedByMajority(const Watched& watched, Instant now) const
+bool FailureDetector::promisedByMajority(const Watched& watched, Instant now) const
 {
     std::set<base::InstanceId> stopped;
     for (const auto& [voter, heard] : watched.replies) {
@@ -121,7 +121,7 @@
     return isMajorityOfEachSet(m_voterSets, stopped);
 }
 
-AbsencePhase AbsenceTracker::phaseOf(const Watched& watched, Instant now) const
+AbsencePhase FailureDetector::phaseOf(const Watched& watched, Instant now) const
 {
     if (!watched.absentSince)
         return AbsencePhase::Present;
@@ -133,19 +133,19 @@
     return voterSetsStable && promisedByMajority(watched, now) ? AbsencePhase::Cleared : AbsencePhase::Marked;
 }
 
-AbsencePhase AbsenceTracker::phase(const base::InstanceId& instance, Instant now) const
+AbsencePhase FailureDetector::phase(const base::InstanceId& instance, Instant now) const
 {
     auto found = m_watched.find(instance);
     return found == m_watched.end() ? AbsencePhase::Present : phaseOf(found->second, now);
 }
 
-base::Revision AbsenceTracker::markOf(const base::InstanceId& instance) const
+base::Revision FailureDetector::markOf(const base::InstanceId& instance) const
 {
     auto found = m_watched.find(instance);
     return found == m_watched.end() ? base::Revision() : found->second.mark;
 }
 
-std::vector<base::InstanceId> AbsenceTracker::toAsk(Instant now) const
+std::vector<base::InstanceId> FailureDetector::toAsk(Instant now) const
 {
     std::vector<base::InstanceId> instances;
     for (const auto& [instance, watched] : m_watched) {
@@ -156,25 +156,25 @@
     return instances;
 }
 
-std::optional<Clearance> AbsenceTracker::clearance(const base::InstanceId& instance, Instant now) const
+std::optional<Clearance> FailureDetector::clearance(const base::InstanceId& instance, Instant now) const
 {
     if (phase(instance, now) != AbsencePhase::Cleared)
         return std::nullopt;
     return Clearance { instance, markOf(instance), m_voterSets.modified };
 }
 
-bool AbsenceTracker::mayTake(const Row& row, Instant now) const
+bool FailureDetector::mayTake(const Row& row, Instant now) const
 {
     return phase(row.holder.instance, now) == AbsencePhase::Cleared;
 }
 
-bool AbsenceTracker::listHasDropped(const base::InstanceId& instance) const
+bool FailureDetector::listHasDropped(const base::InstanceId& instance) const
 {
     auto found = m_watched.find(instance);
     return found != m_watched.end() && isDropped(found->second);
 }
 
-bool AbsenceTracker::hasStoppedVouching(const base::InstanceId& instance, Instant now) const
+bool FailureDetector::hasStoppedVouching(const base::InstanceId& instance, Instant now) const
 {
     auto found = m_watched.find(instance);
     return found != m_watched.end() && isDropped(found->second) && now > *found->second.absentSince + voterAbsence(m_timing);
--- a/packages/assignments/test/FleetModel.cpp
+++ b/packages/assignments/test/FleetModel.cpp
@@ -33,7 +33,7 @@
         : slot(slotIndex)
         , drift(clockDrift)
         , holder(parts.makeHolder(self, options.timing))
-        , tracker(parts.makeTracker(options.timing))
+        , detector(parts.makeDetector(options.timing))
         , mover(self)
         , voter(self.instance, options.timing, local(startedAt))
         , leaseUse(self, options.leaseTimeToLive)
@@ -48,7 +48,7 @@
     // How much faster its clock runs than real time, in parts of a million.
     int64_t drift;
     std::unique_ptr<HolderState> holder;
-    std::unique_ptr<AbsenceTracker> tracker;
+    std::unique_ptr<FailureDetector> detector;
     AssignmentTable table;
     Mover mover;
     VoterState voter;
@@ -338,24 +338,24 @@
     bool marked = std::any_of(marks.begin(), marks.end(), [&](const GoneMark& mark) { return mark.instance == self.instance(); });
     self.holder->onServiceRead(exchange, now, marksReply.revision, marked, voterSets);
     self.voter.onServiceRead(marksReply.revision, marks, voterSets);
-    self.tracker->onMarks(marksReply.revision, marks);
+    self.detector->onMarks(marksReply.revision, marks);
     if (voterSets)
         learnVoterSets(self, *voterSets);
     for (const auto& row : self.table.all())
-        self.tracker->watch(row.holder.instance, now);
+        self.detector->watch(row.holder.instance, now);
 }
 
 void Fleet::learnVoterSets(Process& self, const VoterSets& voterSets)
 {
     Instant now = self.local(m_now);
     self.voterSets = voterSets;
-    self.tracker->onVoterSets(voterSets, now);
+    self.detector->onVoterSets(voterSets, now);
     for (const auto& member : voterSets.current.members)
-        self.tracker->watch(member, now);
+        self.detector->watch(member, now);
     if (!voterSets.previous)
         return;
     for (const auto& member : voterSets.previous->members)
-        self.tracker->watch(member, now);
+        self.detector->watch(member, now);
 }
 
 void Fleet::readList(Process& process)
@@ -376,7 +376,7 @@
         auto version = m_options.versionedList ? std::optional<uint64_t>(state.version) : std::nullopt;
         bool shows = state.instances.count(self.instance()) > 0;
         self.holder->onListAnswer(exchange, now, version, shows);
-        self.tracker->onListAnswer(exchange, now, version, state.instances);
+        self.detector->onListAnswer(exchange, now, version, state.instances);
         if (now > exchange.deadline)
             return;
         if (shows)
@@ -412,7 +412,7 @@
     std::set<InstanceId> voters = process.voterSets.current.members;
     if (process.voterSets.previous)
         voters.insert(process.voterSets.previous->members.begin(), process.voterSets.previous->members.end());
-    auto absent = process.tracker->toAsk(sentAt);
+    auto absent = process.detector->toAsk(sentAt);
     for (const auto& voter : voters) {
         Process* target = reach(process, voter);
         if (!target || (m_options.lossyNetwork && chance(lossPercent)))
@@ -430,11 +430,11 @@
             });
         });
         for (const auto& gone : absent) {
-            base::Revision mark = process.tracker->markOf(gone);
+            base::Revision mark = process.detector->markOf(gone);
             deliver(sharedOf(*target), m_now + hop(), [this, asker, exchange, gone, mark](Process& self) {
                 VoterReply reply = self.voter.onQuestion(gone, mark, self.local(m_now));
                 deliver(asker, m_now + hop(), [this, exchange, gone, reply](Process& taker) {
-                    taker.tracker->onVoterReply(exchange, taker.local(m_now), gone, reply);
+                    taker.detector->onVoterReply(exchange, taker.local(m_now), gone, reply);
                 });
             });
         }
@@ -471,7 +471,7 @@
             send(process, move, true);
             continue;
         }
-        if (auto clearance = process.tracker->clearance(row->holder.instance, now))
+        if (auto clearance = process.detector->clearance(row->holder.instance, now))
             send(process, process.mover.takeOver(*row, *clearance, process.holder->self(), "", process.read), true);
     }
     if (leases)
@@ -480,11 +480,11 @@
     for (const auto& row : process.table.all())
         holders.insert(row.holder.instance);
     for (const auto& instance : holders) {
-        if (process.tracker->phase(instance, now) == AbsencePhase::MarkNeeded)
+        if (process.detector->phase(instance, now) == AbsencePhase::MarkNeeded)
             send(process, process.mover.markGone(instance), false);
     }
-    if (process.holder->mayLiftMark(now) && process.tracker->markOf(process.instance()) != base::Revision())
-        send(process, process.mover.liftMark({ process.instance(), process.tracker->markOf(process.instance()) }), false);
+    if (process.holder->mayLiftMark(now) && process.detector->markOf(process.instance()) != base::Revision())
+        send(process, process.mover.liftMark({ process.instance(), process.detector->markOf(process.instance()) }), false);
 }
 
 void Fleet::maintainVoterSet(Process& process)
@@ -497,7 +497,7 @@
         std::set<InstanceId> promised;
         for (const auto& member : known.previous->members) {
             bool knows = process.generations[member] >= known.current.generation;
-            if (knows || process.tracker->hasStoppedVouching(member, now))
+            if (knows || process.detector->hasStoppedVouching(member, now))
                 promised.insert(member);
         }
         if (auto transaction = retirePrevious(known, promised))
@@ -506,7 +506,7 @@
     }
     std::set<InstanceId> members;
     for (const auto& member : known.current.members) {
-        if (!process.tracker->listHasDropped(member))
+        if (!process.detector->listHasDropped(member))
             members.insert(member);
     }
     for (const auto& candidate : process.listed) {
--- a/packages/assignments/test/FleetModel.h
+++ b/packages/assignments/test/FleetModel.h
@@ -6,8 +6,8 @@
 
 #pragma once
 
-#include "toucanstep/assignments/AbsenceTracker.h"
 #include "toucanstep/assignments/AssignmentTable.h"
+#include "toucanstep/assignments/FailureDetector.h"
 #include "toucanstep/assignments/HolderState.h"
 #include "toucanstep/assignments/LeaseExpiry.h"
 #include "toucanstep/assignments/Mover.h"
@@ -34,7 +34,7 @@
 public:
     virtual ~PartsFactory() = default;
     virtual std::unique_ptr<HolderState> makeHolder(const Holder& self, const Timing& timing) const { return std::make_unique<HolderState>(self, timing); }
-    virtual std::unique_ptr<AbsenceTracker> makeTracker(const Timing& timing) const { return std::make_unique<AbsenceTracker>(timing); }
+    virtual std::unique_ptr<FailureDetector> makeDetector(const Timing& timing) const { return std::make_unique<FailureDetector>(timing); }
     // Whether a restarted process rewrites the rows of its predecessor before it uses them.
     virtual bool adoptsRows() const { return true; }
 };
--- a/packages/assignments/test/HistoryTest.cpp
+++ b/packages/assignments/test/HistoryTest.cpp
@@ -180,25 +180,25 @@
     }
 };
 
-class IgnoresListLag final : public AbsenceTracker {
+class IgnoresListLag final : public FailureDetector {
 public:
-    using AbsenceTracker::AbsenceTracker;
+    using FailureDetector::FailureDetector;
 
 protected:
     bool absenceStood(const Watched& watched, Instant) const override { return watched.absentSince.has_value(); }
 };
 
-class NeedsNoPromise final : public AbsenceTracker {
+class NeedsNoPromise final : public FailureDetector {
 public:
-    using AbsenceTracker::AbsenceTracker;
+    using FailureDetector::FailureDetector;
 
 protected:
     bool promisedByMajority(const Watched&, Instant) const override { return true; }
 };
 
-class TrustsOneAnswer final : public AbsenceTracker {
+class TrustsOneAnswer final : public FailureDetector {
 public:
-    using AbsenceTracker::AbsenceTracker;
+    using FailureDetector::FailureDetector;
 
 protected:
     bool isDropped(const Watched& watched) const override { return watched.absentSince.has_value(); }
@@ -212,10 +212,10 @@
     std::unique_ptr<HolderState> makeHolder(const Holder& self, const Timing& timing) const override { return std::make_unique<FaultyHolder>(self, timing); }
 };
 
-template <typename FaultyTracker>
-class WithTracker final : public PartsFactory {
+template <typename FaultyDetector>
+class WithDetector final : public PartsFactory {
 public:
-    std::unique_ptr<AbsenceTracker> makeTracker(const Timing& timing) const override { return std::make_unique<FaultyTracker>(timing); }
+    std::unique_ptr<FailureDetector> makeDetector(const Timing& timing) const override { return std::make_unique<FaultyDetector>(timing); }
 };
 
 class WithoutAdoption final : public WithHolder<UsesPredecessorsRows> {
@@ -262,15 +262,15 @@
 
 TEST(Histories, AFaultWhereTheListsLagIsIgnoredIsFound)
 {
-    CHECK_FALSE(findViolation(WithTracker<IgnoresListLag>(), droppedProcess()).empty());
+    CHECK_FALSE(findViolation(WithDetector<IgnoresListLag>(), droppedProcess()).empty());
 }
 
 TEST(Histories, AFaultWhereVotersNeedNotPromiseIsFound)
 {
-    CHECK_FALSE(findViolation(WithTracker<NeedsNoPromise>(), droppedProcess()).empty());
+    CHECK_FALSE(findViolation(WithDetector<NeedsNoPromise>(), droppedProcess()).empty());
 }
 
 TEST(Histories, AFaultWhereOneAnswerOfTheListIsEnoughIsFound)
 {
-    CHECK_FALSE(findViolation(WithTracker<TrustsOneAnswer>(), anyPart()).empty());
+    CHECK_FALSE(findViolation(WithDetector<TrustsOneAnswer>(), anyPart()).empty());
 }
--- a/packages/assignments/test/UnitTest.cpp
+++ b/packages/assignments/test/UnitTest.cpp
@@ -302,32 +302,32 @@
 // only absence for longer than the lag says that it was dropped; an answer that shows it starts the time again.
 TEST(Absence, AnAnswerThatGoesBackIsNoProofThatAnInstanceWasDropped)
 {
-    AbsenceTracker tracker(Timing {});
+    FailureDetector detector(Timing {});
     InstanceId instance("a");
-    tracker.watch(instance, at({}));
+    detector.watch(instance, at({}));
     for (int second = 0; second < 9; ++second)
-        tracker.onListAnswer(sentAt(seconds(second)), at(seconds(second)), std::nullopt, {});
-    tracker.onListAnswer(sentAt(seconds(9)), at(seconds(9)), std::nullopt, { instance });
+        detector.onListAnswer(sentAt(seconds(second)), at(seconds(second)), std::nullopt, {});
+    detector.onListAnswer(sentAt(seconds(9)), at(seconds(9)), std::nullopt, { instance });
     for (int second = 10; second <= 20; ++second) {
-        tracker.onListAnswer(sentAt(seconds(second)), at(seconds(second)), std::nullopt, {});
-        CHECK_FALSE(tracker.listHasDropped(instance));
+        detector.onListAnswer(sentAt(seconds(second)), at(seconds(second)), std::nullopt, {});
+        CHECK_FALSE(detector.listHasDropped(instance));
     }
-    tracker.onListAnswer(sentAt(seconds(21)), at(seconds(21)), std::nullopt, {});
-    CHECK_TRUE(tracker.listHasDropped(instance));
+    detector.onListAnswer(sentAt(seconds(21)), at(seconds(21)), std::nullopt, {});
+    CHECK_TRUE(detector.listHasDropped(instance));
 }
 
 // With versions an answer older than the one that showed the instance is left aside, however late it comes.
 TEST(Absence, AnOlderVersionIsLeftAside)
 {
-    AbsenceTracker tracker(Timing {});
+    FailureDetector detector(Timing {});
     InstanceId instance("a");
-    tracker.watch(instance, at({}));
-    tracker.onListAnswer(sentAt({}), at({}), 5, { instance });
-    tracker.onListAnswer(sentAt(seconds(1)), at(seconds(1)), 4, {});
-    CHECK_FALSE(tracker.listHasDropped(instance));
-    tracker.onListAnswer(sentAt(seconds(2)), at(seconds(2)), 6, {});
-    CHECK_TRUE(tracker.listHasDropped(instance));
-    CHECK_TRUE(tracker.phase(instance, at(seconds(2))) == AbsencePhase::Absent);
+    detector.watch(instance, at({}));
+    detector.onListAnswer(sentAt({}), at({}), 5, { instance });
+    detector.onListAnswer(sentAt(seconds(1)), at(seconds(1)), 4, {});
+    CHECK_FALSE(detector.listHasDropped(instance));
+    detector.onListAnswer(sentAt(seconds(2)), at(seconds(2)), 6, {});
+    CHECK_TRUE(detector.listHasDropped(instance));
+    CHECK_TRUE(detector.phase(instance, at(seconds(2))) == AbsencePhase::Absent);
 }
 
 TEST_GROUP(Electing) {};
--- a/packages/node/include/toucanstep/node/AssignmentAgent.h
+++ b/packages/node/include/toucanstep/node/AssignmentAgent.h
@@ -6,8 +6,8 @@
 
 #pragma once
 
-#include "toucanstep/assignments/AbsenceTracker.h"
 #include "toucanstep/assignments/AssignmentTable.h"
+#include "toucanstep/assignments/FailureDetector.h"
 #include "toucanstep/assignments/HolderState.h"
 #include "toucanstep/assignments/Mover.h"
 #include "toucanstep/assignments/VoterState.h"
@@ -114,7 +114,7 @@
     void answerVouch(const peers::IncomingCall&, std::shared_ptr<peers::PeerResponder>);
     void answerQuestion(const peers::IncomingCall&, std::shared_ptr<peers::PeerResponder>);
     std::set<base::InstanceId> knownVoters() const;
-    assignments::AbsenceTracker& trackerOf(const std::string& listName);
+    assignments::FailureDetector& trackerOf(const std::string& listName);
     bool isGateway() const { return m_node.settings().role == config::Role::Gateway; }
 
     Node& m_node;
@@ -126,7 +126,7 @@
     assignments::Mover m_mover;
     assignments::VoterSets m_electorates;
     // One for each name of the platform's list: an answer says nothing about instances under other names.
-    std::map<std::string, assignments::AbsenceTracker> m_trackers;
+    std::map<std::string, assignments::FailureDetector> m_trackers;
     std::map<assignments::MoveId, PendingMove> m_moves;
     std::set<std::string> m_keysMoving;
     std::map<base::InstanceId, assignments::Generation> m_voterGenerations;
--- a/packages/node/src/AssignmentAgent.cpp
+++ b/packages/node/src/AssignmentAgent.cpp
@@ -358,7 +358,7 @@
 
 // ---- absence of others
 
-AbsenceTracker& AssignmentAgent::trackerOf(const std::string& listName)
+FailureDetector& AssignmentAgent::trackerOf(const std::string& listName)
 {
     auto [found, isNew] = m_trackers.try_emplace(listName, m_options.timing);
     if (isNew)
