--- a/packages/assignments/include/toucanstep/assignments/FailureDetector.h
+++ b/packages/assignments/include/toucanstep/assignments/FailureDetector.h
@@ -19,7 +19,7 @@
 
 namespace toucanstep::assignments {
 
-enum class AbsencePhase {
+enum class FailurePhase {
     Present,
     // Absent from the list, but not proved to be dropped for long enough.
     Absent,
@@ -28,7 +28,7 @@
     // The mark stands; promises are being gathered.
     Marked,
     // Its rows may be taken.
-    Cleared,
+    TakeoverAllowed,
 };
 
 // Proof that a holder has stopped, good while its mark stands.
@@ -62,7 +62,7 @@
     // A voter's reply to this node's question about `instance`.
     void onVoterReply(Exchange, base::Instant now, const base::InstanceId& instance, const VoterReply&);
 
-    AbsencePhase phase(const base::InstanceId&, base::Instant now) const;
+    FailurePhase phase(const base::InstanceId&, base::Instant now) const;
     // The mark's revision that voters are to be asked under, or zero before there is one.
     base::Revision markOf(const base::InstanceId&) const;
     // Instances about which voters have to be asked now.
@@ -105,7 +105,7 @@
     const VoterSets& voterSets() const { return m_voterSets; }
 
 private:
-    AbsencePhase phaseOf(const Watched&, base::Instant now) const;
+    FailurePhase phaseOf(const Watched&, base::Instant now) const;
 
     Timing m_timing;
     VoterSets m_voterSets;
--- a/packages/assignments/src/FailureDetector.cpp
+++ b/packages/assignments/src/FailureDetector.cpp
@@ -121,22 +121,22 @@
     return isMajorityOfEachSet(m_voterSets, stopped);
 }
 
-AbsencePhase FailureDetector::phaseOf(const Watched& watched, Instant now) const
+FailurePhase FailureDetector::phaseOf(const Watched& watched, Instant now) const
 {
     if (!watched.absentSince)
-        return AbsencePhase::Present;
+        return FailurePhase::Present;
     if (!isDropped(watched) || !absenceStood(watched, now))
-        return AbsencePhase::Absent;
+        return FailurePhase::Absent;
     if (watched.mark == base::Revision())
-        return unheardByMajority(watched, now) ? AbsencePhase::MarkNeeded : AbsencePhase::Absent;
+        return unheardByMajority(watched, now) ? FailurePhase::MarkNeeded : FailurePhase::Absent;
     bool voterSetsStable = m_voterSetsSince && now >= *m_voterSetsSince + m_timing.absence;
-    return voterSetsStable && promisedByMajority(watched, now) ? AbsencePhase::Cleared : AbsencePhase::Marked;
+    return voterSetsStable && promisedByMajority(watched, now) ? FailurePhase::TakeoverAllowed : FailurePhase::Marked;
 }
 
-AbsencePhase FailureDetector::phase(const base::InstanceId& instance, Instant now) const
+FailurePhase FailureDetector::phase(const base::InstanceId& instance, Instant now) const
 {
     auto found = m_watched.find(instance);
-    return found == m_watched.end() ? AbsencePhase::Present : phaseOf(found->second, now);
+    return found == m_watched.end() ? FailurePhase::Present : phaseOf(found->second, now);
 }
 
 base::Revision FailureDetector::markOf(const base::InstanceId& instance) const
@@ -149,8 +149,8 @@
 {
     std::vector<base::InstanceId> instances;
     for (const auto& [instance, watched] : m_watched) {
-        AbsencePhase phase = phaseOf(watched, now);
-        if (phase == AbsencePhase::Absent || phase == AbsencePhase::Marked)
+        FailurePhase phase = phaseOf(watched, now);
+        if (phase == FailurePhase::Absent || phase == FailurePhase::Marked)
             instances.push_back(instance);
     }
     return instances;
@@ -158,14 +158,14 @@
 
 std::optional<Clearance> FailureDetector::clearance(const base::InstanceId& instance, Instant now) const
 {
-    if (phase(instance, now) != AbsencePhase::Cleared)
+    if (phase(instance, now) != FailurePhase::TakeoverAllowed)
         return std::nullopt;
     return Clearance { instance, markOf(instance), m_voterSets.modified };
 }
 
 bool FailureDetector::mayTake(const Row& row, Instant now) const
 {
-    return phase(row.holder.instance, now) == AbsencePhase::Cleared;
+    return phase(row.holder.instance, now) == FailurePhase::TakeoverAllowed;
 }
 
 bool FailureDetector::listHasDropped(const base::InstanceId& instance) const
--- a/packages/assignments/test/FleetModel.cpp
+++ b/packages/assignments/test/FleetModel.cpp
@@ -480,7 +480,7 @@
     for (const auto& row : process.table.all())
         holders.insert(row.holder.instance);
     for (const auto& instance : holders) {
-        if (process.detector->phase(instance, now) == AbsencePhase::MarkNeeded)
+        if (process.detector->phase(instance, now) == FailurePhase::MarkNeeded)
             send(process, process.mover.markGone(instance), false);
     }
     if (process.holder->mayLiftMark(now) && process.detector->markOf(process.instance()) != base::Revision())
--- a/packages/assignments/test/UnitTest.cpp
+++ b/packages/assignments/test/UnitTest.cpp
@@ -327,7 +327,7 @@
     CHECK_FALSE(detector.listHasDropped(instance));
     detector.onListAnswer(sentAt(seconds(2)), at(seconds(2)), 6, {});
     CHECK_TRUE(detector.listHasDropped(instance));
-    CHECK_TRUE(detector.phase(instance, at(seconds(2))) == AbsencePhase::Absent);
+    CHECK_TRUE(detector.phase(instance, at(seconds(2))) == FailurePhase::Absent);
 }
 
 TEST_GROUP(Electing) {};
--- a/packages/node/src/AssignmentAgent.cpp
+++ b/packages/node/src/AssignmentAgent.cpp
@@ -433,7 +433,7 @@
     }
     for (auto& [listName, tracker] : m_trackers) {
         for (const base::InstanceId& instance : m_holders) {
-            if (tracker.phase(instance, now) != AbsencePhase::MarkNeeded || m_keysMoving.contains(goneMarkKey(instance)))
+            if (tracker.phase(instance, now) != FailurePhase::MarkNeeded || m_keysMoving.contains(goneMarkKey(instance)))
                 continue;
             submit(m_mover.markGone(instance), [this](MoveState) { m_nextRead = {}; });
         }
