--- a/packages/assignments/include/toucanstep/assignments/FailureDetector.h
+++ b/packages/assignments/include/toucanstep/assignments/FailureDetector.h
@@ -32,7 +32,7 @@
 };
 
 // Proof that a holder has stopped, good while its mark stands.
-struct Clearance {
+struct TakeoverProof {
     base::InstanceId instance;
     base::Revision mark;
     // The revision of the voterSets whose majorities have promised.
@@ -67,7 +67,7 @@
     base::Revision markOf(const base::InstanceId&) const;
     // Instances about which voters have to be asked now.
     std::vector<base::InstanceId> toAsk(base::Instant now) const;
-    std::optional<Clearance> clearance(const base::InstanceId&, base::Instant now) const;
+    std::optional<TakeoverProof> takeoverProof(const base::InstanceId&, base::Instant now) const;
 
     bool mayTake(const Row&, base::Instant now) const override;
     // Whether the list has certainly dropped a watched instance, however long ago; when to choose another voter.
--- a/packages/assignments/include/toucanstep/assignments/Mover.h
+++ b/packages/assignments/include/toucanstep/assignments/Mover.h
@@ -66,7 +66,7 @@
     // release of the predecessor would free the row under its user.
     Move adopt(const Row&, base::Revision read);
     // Takes a row over from a holder that has stopped.
-    Move takeOver(const Row&, const Clearance&, const Holder& to, std::string payload, base::Revision read);
+    Move takeOver(const Row&, const TakeoverProof&, const Holder& to, std::string payload, base::Revision read);
     // Gives a row of this process to another; the row is relinquished first.
     Move handOver(const Row&, HolderState&, const Holder& to, base::Revision read);
     // Deletes a row of this process; the row is relinquished first.
--- a/packages/assignments/src/FailureDetector.cpp
+++ b/packages/assignments/src/FailureDetector.cpp
@@ -156,11 +156,11 @@
     return instances;
 }
 
-std::optional<Clearance> FailureDetector::clearance(const base::InstanceId& instance, Instant now) const
+std::optional<TakeoverProof> FailureDetector::takeoverProof(const base::InstanceId& instance, Instant now) const
 {
     if (phase(instance, now) != FailurePhase::TakeoverAllowed)
         return std::nullopt;
-    return Clearance { instance, markOf(instance), m_voterSets.modified };
+    return TakeoverProof { instance, markOf(instance), m_voterSets.modified };
 }
 
 bool FailureDetector::mayTake(const Row& row, Instant now) const
--- a/packages/assignments/src/Mover.cpp
+++ b/packages/assignments/src/Mover.cpp
@@ -78,12 +78,12 @@
     return write(MoveKind::Adopt, std::move(adopted), row.modified, {});
 }
 
-Move Mover::takeOver(const Row& row, const Clearance& clearance, const Holder& to, std::string payload, base::Revision read)
+Move Mover::takeOver(const Row& row, const TakeoverProof& proof, const Holder& to, std::string payload, base::Revision read)
 {
     Row taken { .key = row.key, .holder = to, .epoch = nextEpoch(read), .payload = std::move(payload) };
     // The proof that the holder has stopped was gathered under this mark and these voters, and is good only with them.
     return write(MoveKind::TakeOver, std::move(taken), row.modified,
-        { { goneMarkKey(clearance.instance), clearance.mark }, { std::string(voterSetsKey), clearance.voterSets } });
+        { { goneMarkKey(proof.instance), proof.mark }, { std::string(voterSetsKey), proof.voterSets } });
 }
 
 Move Mover::handOver(const Row& row, HolderState& holder, const Holder& to, base::Revision read)
--- a/packages/assignments/test/FleetModel.cpp
+++ b/packages/assignments/test/FleetModel.cpp
@@ -471,8 +471,8 @@
             send(process, move, true);
             continue;
         }
-        if (auto clearance = process.detector->clearance(row->holder.instance, now))
-            send(process, process.mover.takeOver(*row, *clearance, process.holder->self(), "", process.read), true);
+        if (auto proof = process.detector->takeoverProof(row->holder.instance, now))
+            send(process, process.mover.takeOver(*row, *proof, process.holder->self(), "", process.read), true);
     }
     if (leases)
         return;
--- a/packages/node/src/AssignmentAgent.cpp
+++ b/packages/node/src/AssignmentAgent.cpp
@@ -374,7 +374,7 @@
 bool AssignmentAgent::cleared(const base::InstanceId& instance, const std::string& listName, base::Instant now) const
 {
     auto tracker = m_trackers.find(listName);
-    return tracker != m_trackers.end() && tracker->second.clearance(instance, now).has_value();
+    return tracker != m_trackers.end() && tracker->second.takeoverProof(instance, now).has_value();
 }
 
 void AssignmentAgent::askVoters(base::Instant now)
@@ -539,7 +539,7 @@
 
 void AssignmentAgent::takeOver(const Row& row, const std::string& listName, const base::InstanceId& to)
 {
-    auto clearance = trackerOf(listName).clearance(row.holder.instance, m_node.control().now());
+    auto clearance = trackerOf(listName).takeoverProof(row.holder.instance, m_node.control().now());
     if (!clearance)
         return;
     Holder holder { to, to == m_self.instance ? m_self.start : StartNonce() };
