--- a/packages/assignments/include/toucanstep/assignments/Mover.h
+++ b/packages/assignments/include/toucanstep/assignments/Mover.h
@@ -6,7 +6,7 @@
 //         store.get(storageKey(key), ...);                 // until onRead() settles it
 //
 // A transaction whose answer was lost is never sent again. A read that shows neither the write nor a competitor's leaves
-// it unsettled, for it may still take effect; a new move of the same row is then safe, because both compare the same
+// it unfinishedCount, for it may still take effect; a new move of the same row is then safe, because both compare the same
 // revision and carry their own nonces, of which at most one can be found later.
 
 #pragma once
@@ -48,7 +48,7 @@
     // Its answer was lost: the entry has to be read.
     NeedsRead,
     // The read showed the entry as it was before: the transaction may still take effect.
-    Unsettled,
+    InDoubt,
     Committed,
     // It was certainly not carried out and never will be.
     Failed,
@@ -82,7 +82,7 @@
     // The row as the move has written it, once it is Committed and unless it was a release or about a mark.
     std::optional<Row> written(MoveId) const;
     void forget(MoveId);
-    size_t unsettled() const;
+    size_t unfinishedCount() const;
 
 private:
     struct Pending {
--- a/packages/assignments/src/Mover.cpp
+++ b/packages/assignments/src/Mover.cpp
@@ -154,7 +154,7 @@
     base::Revision current = entry == reply.entries.end() ? base::Revision() : entry->modified;
     if (current == pending.compared) {
         // The transaction may still lie somewhere on its way.
-        pending.state = MoveState::Unsettled;
+        pending.state = MoveState::InDoubt;
         return pending.state;
     }
     if (entry != reply.entries.end() && wrote(pending, *entry)) {
@@ -198,7 +198,7 @@
     m_pending.erase(id);
 }
 
-size_t Mover::unsettled() const
+size_t Mover::unfinishedCount() const
 {
     auto counted = std::count_if(m_pending.begin(), m_pending.end(), [](const auto& pending) {
         return pending.second.state != MoveState::Committed && pending.second.state != MoveState::Failed;
--- a/packages/assignments/test/UnitTest.cpp
+++ b/packages/assignments/test/UnitTest.cpp
@@ -133,12 +133,12 @@
     Mover mover(self);
     Move first = mover.claim(share, "", Revision(5));
     mover.onOutcome(first.id, Error { ErrorKind::Timeout, "" });
-    CHECK_TRUE(mover.onRead(first.id, RangeReply { {}, Revision(5) }) == MoveState::Unsettled);
+    CHECK_TRUE(mover.onRead(first.id, RangeReply { {}, Revision(5) }) == MoveState::InDoubt);
     Move second = mover.claim(share, "", Revision(5));
     const auto& put = std::get<PutOperation>(first.transaction.operations[0]);
     CHECK_TRUE(mover.onOutcome(second.id, TransactionReply { false, Revision(6) }) == MoveState::Failed);
     CHECK_TRUE(mover.onRead(first.id, RangeReply { { { put.key, put.value, Revision(6), Revision(6) } }, Revision(6) }) == MoveState::Committed);
-    CHECK_EQUAL(0, mover.unsettled());
+    CHECK_EQUAL(0, mover.unfinishedCount());
 }
 
 // A release's answer is lost and a read still shows the row. Used again it would be freed under its user when the release
@@ -154,7 +154,7 @@
     Move move = mover.release(row, holder);
     CHECK_FALSE(holder.mayUse(row, at(seconds(1))));
     mover.onOutcome(move.id, Error { ErrorKind::Timeout, "" });
-    CHECK_TRUE(mover.onRead(move.id, RangeReply { { entryOf(row) }, Revision(4) }) == MoveState::Unsettled);
+    CHECK_TRUE(mover.onRead(move.id, RangeReply { { entryOf(row) }, Revision(4) }) == MoveState::InDoubt);
     CHECK_FALSE(holder.mayUse(row, at(seconds(1))));
     CHECK_TRUE(holder.hasGivenUp(row));
     row.modified = Revision(9);
--- a/packages/node/src/AssignmentAgent.cpp
+++ b/packages/node/src/AssignmentAgent.cpp
@@ -585,7 +585,7 @@
     std::vector<MoveId> abandoned;
     for (auto& [id, pending] : m_moves) {
         MoveState state = m_mover.state(id);
-        if (state != MoveState::NeedsRead && state != MoveState::Unsettled)
+        if (state != MoveState::NeedsRead && state != MoveState::InDoubt)
             continue;
         if (now >= pending.forgetAt) {
             abandoned.push_back(id);
@@ -611,7 +611,7 @@
         });
     }
     for (MoveId id : abandoned)
-        finishMove(id, MoveState::Unsettled);
+        finishMove(id, MoveState::InDoubt);
 }
 
 void AssignmentAgent::finishMove(MoveId id, MoveState state)
