--- a/packages/assignments/include/toucanstep/assignments/HolderState.h
+++ b/packages/assignments/include/toucanstep/assignments/HolderState.h
@@ -60,7 +60,7 @@
 
     bool mayUse(const Row&, base::Instant now) const override;
     // Whether this process has relinquished the row as it stands; a later revision that names it is a new row.
-    bool hasGivenUp(const Row&) const;
+    bool hasRelinquished(const Row&) const;
     // The instant at which use ends if nothing more is heard; the past where it may not be used now.
     base::Instant usableUntil() const;
     // Whether the platform's word that this instance is gone stands against it.
--- a/packages/assignments/src/HolderState.cpp
+++ b/packages/assignments/src/HolderState.cpp
@@ -141,10 +141,10 @@
 {
     if (!(row.holder == m_self) || m_self.start.empty())
         return false;
-    return !hasGivenUp(row) && now <= usableUntil();
+    return !hasRelinquished(row) && now <= usableUntil();
 }
 
-bool HolderState::hasGivenUp(const Row& row) const
+bool HolderState::hasRelinquished(const Row& row) const
 {
     auto relinquished = m_relinquished.find(row.key);
     return relinquished != m_relinquished.end() && row.modified <= relinquished->second;
--- a/packages/assignments/test/UnitTest.cpp
+++ b/packages/assignments/test/UnitTest.cpp
@@ -156,7 +156,7 @@
     mover.onOutcome(move.id, Error { ErrorKind::Timeout, "" });
     CHECK_TRUE(mover.onRead(move.id, RangeReply { { entryOf(row) }, Revision(4) }) == MoveState::InDoubt);
     CHECK_FALSE(holder.mayUse(row, at(seconds(1))));
-    CHECK_TRUE(holder.hasGivenUp(row));
+    CHECK_TRUE(holder.hasRelinquished(row));
     row.modified = Revision(9);
     CHECK_TRUE(holder.mayUse(row, at(seconds(1))));
 }
--- a/packages/node/src/AssignmentAgent.cpp
+++ b/packages/node/src/AssignmentAgent.cpp
@@ -256,7 +256,7 @@
     for (const Row& row : view->rows) {
         if (row.holder.instance == m_self.instance)
             m_rowsHere.push_back(row);
-        if (row.holder == m_self && !m_holder.hasGivenUp(row))
+        if (row.holder == m_self && !m_holder.hasRelinquished(row))
             view->own.push_back(row);
     }
     m_view.publish(view);
@@ -525,7 +525,7 @@
         return;
     for (const Row& row : m_rowsHere) {
         bool adopted = row.holder.start == m_self.start;
-        if (adopted || busy(row.key) || !mayMoveMore() || m_holder.hasGivenUp(row))
+        if (adopted || busy(row.key) || !mayMoveMore() || m_holder.hasRelinquished(row))
             continue;
         submit(m_mover.adopt(row, m_readRevision), {});
     }
