--- a/packages/assignments/include/toucanstep/assignments/FailureDetector.h
+++ b/packages/assignments/include/toucanstep/assignments/FailureDetector.h
@@ -66,7 +66,7 @@
     // The mark's revision that voters are to be asked under, or zero before there is one.
     base::Revision markOf(const base::InstanceId&) const;
     // Instances about which voters have to be asked now.
-    std::vector<base::InstanceId> toAsk(base::Instant now) const;
+    std::vector<base::InstanceId> instancesToQuery(base::Instant now) const;
     std::optional<TakeoverProof> takeoverProof(const base::InstanceId&, base::Instant now) const;
 
     bool mayTake(const Row&, base::Instant now) const override;
--- a/packages/assignments/src/FailureDetector.cpp
+++ b/packages/assignments/src/FailureDetector.cpp
@@ -145,7 +145,7 @@
     return found == m_watched.end() ? base::Revision() : found->second.mark;
 }
 
-std::vector<base::InstanceId> FailureDetector::toAsk(Instant now) const
+std::vector<base::InstanceId> FailureDetector::instancesToQuery(Instant now) const
 {
     std::vector<base::InstanceId> instances;
     for (const auto& [instance, watched] : m_watched) {
--- a/packages/assignments/test/FleetModel.cpp
+++ b/packages/assignments/test/FleetModel.cpp
@@ -412,7 +412,7 @@
     std::set<InstanceId> voters = process.voterSets.current.members;
     if (process.voterSets.previous)
         voters.insert(process.voterSets.previous->members.begin(), process.voterSets.previous->members.end());
-    auto absent = process.detector->toAsk(sentAt);
+    auto absent = process.detector->instancesToQuery(sentAt);
     for (const auto& voter : voters) {
         Process* target = reach(process, voter);
         if (!target || (m_options.lossyNetwork && chance(lossPercent)))
--- a/packages/node/src/AssignmentAgent.cpp
+++ b/packages/node/src/AssignmentAgent.cpp
@@ -384,7 +384,7 @@
     m_nextQuestion = now + questionInterval;
     auto instances = m_node.instances();
     for (auto& [listName, tracker] : m_trackers) {
-        for (const base::InstanceId& absent : tracker.toAsk(now)) {
+        for (const base::InstanceId& absent : tracker.instancesToQuery(now)) {
             base::Revision mark = tracker.markOf(absent);
             for (const base::InstanceId& voter : knownVoters()) {
                 Exchange exchange { now, now + peerTimeout };
