--- a/packages/assignments/include/toucanstep/assignments/FailureDetector.h
+++ b/packages/assignments/include/toucanstep/assignments/FailureDetector.h
@@ -64,7 +64,7 @@
 
     FailurePhase phase(const base::InstanceId&, base::Instant now) const;
     // The mark's revision that voters are to be asked under, or zero before there is one.
-    base::Revision markOf(const base::InstanceId&) const;
+    base::Revision markRevisionOf(const base::InstanceId&) const;
     // Instances about which voters have to be asked now.
     std::vector<base::InstanceId> instancesToQuery(base::Instant now) const;
     std::optional<TakeoverProof> takeoverProof(const base::InstanceId&, base::Instant now) const;
--- a/packages/assignments/src/FailureDetector.cpp
+++ b/packages/assignments/src/FailureDetector.cpp
@@ -139,7 +139,7 @@
     return found == m_watched.end() ? FailurePhase::Present : phaseOf(found->second, now);
 }
 
-base::Revision FailureDetector::markOf(const base::InstanceId& instance) const
+base::Revision FailureDetector::markRevisionOf(const base::InstanceId& instance) const
 {
     auto found = m_watched.find(instance);
     return found == m_watched.end() ? base::Revision() : found->second.mark;
@@ -160,7 +160,7 @@
 {
     if (phase(instance, now) != FailurePhase::TakeoverAllowed)
         return std::nullopt;
-    return TakeoverProof { instance, markOf(instance), m_voterSets.modified };
+    return TakeoverProof { instance, markRevisionOf(instance), m_voterSets.modified };
 }
 
 bool FailureDetector::mayTake(const Row& row, Instant now) const
--- a/packages/assignments/test/FleetModel.cpp
+++ b/packages/assignments/test/FleetModel.cpp
@@ -430,7 +430,7 @@
             });
         });
         for (const auto& gone : absent) {
-            base::Revision mark = process.detector->markOf(gone);
+            base::Revision mark = process.detector->markRevisionOf(gone);
             deliver(sharedOf(*target), m_now + hop(), [this, asker, exchange, gone, mark](Process& self) {
                 VoterReply reply = self.voter.onQuestion(gone, mark, self.local(m_now));
                 deliver(asker, m_now + hop(), [this, exchange, gone, reply](Process& taker) {
@@ -483,8 +483,8 @@
         if (process.detector->phase(instance, now) == FailurePhase::MarkNeeded)
             send(process, process.mover.markGone(instance), false);
     }
-    if (process.holder->mayLiftMark(now) && process.detector->markOf(process.instance()) != base::Revision())
-        send(process, process.mover.liftMark({ process.instance(), process.detector->markOf(process.instance()) }), false);
+    if (process.holder->mayLiftMark(now) && process.detector->markRevisionOf(process.instance()) != base::Revision())
+        send(process, process.mover.liftMark({ process.instance(), process.detector->markRevisionOf(process.instance()) }), false);
 }
 
 void Fleet::maintainVoterSet(Process& process)
--- a/packages/node/src/AssignmentAgent.cpp
+++ b/packages/node/src/AssignmentAgent.cpp
@@ -385,7 +385,7 @@
     auto instances = m_node.instances();
     for (auto& [listName, tracker] : m_trackers) {
         for (const base::InstanceId& absent : tracker.instancesToQuery(now)) {
-            base::Revision mark = tracker.markOf(absent);
+            base::Revision mark = tracker.markRevisionOf(absent);
             for (const base::InstanceId& voter : knownVoters()) {
                 Exchange exchange { now, now + peerTimeout };
                 if (voter == m_self.instance) {
