--- a/packages/assignments/include/toucanstep/assignments/VoterState.h
+++ b/packages/assignments/include/toucanstep/assignments/VoterState.h
@@ -48,7 +48,7 @@
     // An instance asks to be vouched for: false where the voter must not, or cannot know whether it may. The answer goes back with generation().
     bool vouchFor(const base::InstanceId&, base::Instant now);
     // A taker asks, with the revision of the gone mark once it stands.
-    VoterReply onQuestion(const base::InstanceId&, base::Revision mark, base::Instant now);
+    VoterReply onAbsenceQuery(const base::InstanceId&, base::Revision mark, base::Instant now);
 
     Generation generation() const { return m_voterSet.generation; }
     const VoterSet& voterSet() const { return m_voterSet; }
--- a/packages/assignments/src/VoterState.cpp
+++ b/packages/assignments/src/VoterState.cpp
@@ -47,7 +47,7 @@
     return true;
 }
 
-VoterReply VoterState::onQuestion(const base::InstanceId& instance, base::Revision mark, Instant now)
+VoterReply VoterState::onAbsenceQuery(const base::InstanceId& instance, base::Revision mark, Instant now)
 {
     if (mark != base::Revision()) {
         bool lifted = m_hasRead && mark <= m_marksRead && !m_promised.count(instance);
--- a/packages/assignments/test/FleetModel.cpp
+++ b/packages/assignments/test/FleetModel.cpp
@@ -432,7 +432,7 @@
         for (const auto& gone : absent) {
             base::Revision mark = process.detector->markRevisionOf(gone);
             deliver(sharedOf(*target), m_now + hop(), [this, asker, exchange, gone, mark](Process& self) {
-                VoterReply reply = self.voter.onQuestion(gone, mark, self.local(m_now));
+                VoterReply reply = self.voter.onAbsenceQuery(gone, mark, self.local(m_now));
                 deliver(asker, m_now + hop(), [this, exchange, gone, reply](Process& taker) {
                     taker.detector->onVoterReply(exchange, taker.local(m_now), gone, reply);
                 });
--- a/packages/assignments/test/UnitTest.cpp
+++ b/packages/assignments/test/UnitTest.cpp
@@ -274,7 +274,7 @@
     voter.onListed(at({}));
     voter.onServiceRead(Revision(5), {}, voterSetsOf(threeVoters));
     CHECK_TRUE(voter.vouchFor(InstanceId("a"), at(seconds(1))));
-    VoterReply reply = voter.onQuestion(InstanceId("a"), Revision(7), at(seconds(3)));
+    VoterReply reply = voter.onAbsenceQuery(InstanceId("a"), Revision(7), at(seconds(3)));
     CHECK_EQUAL(7, reply.promisedUnder.value());
     CHECK_TRUE(reply.unheard == seconds(2));
     voter.onServiceRead(Revision(6), {}, voterSetsOf(threeVoters));
--- a/packages/node/src/AssignmentAgent.cpp
+++ b/packages/node/src/AssignmentAgent.cpp
@@ -347,7 +347,7 @@
         return;
     }
     m_node.control().post([this, instance, mark, responder = std::move(responder)] {
-        VoterReply vote = m_voter.onQuestion(instance, mark, m_node.control().now());
+        VoterReply vote = m_voter.onAbsenceQuery(instance, mark, m_node.control().now());
         std::string reply = peers::FieldWriter().addDuration(vote.unheard).add(vote.promisedUnder.value()).add(m_voter.generation().value()).finish();
         m_node.traffic().post([responder, reply] {
             responder->send(reply);
@@ -389,7 +389,7 @@
             for (const base::InstanceId& voter : knownVoters()) {
                 Exchange exchange { now, now + peerTimeout };
                 if (voter == m_self.instance) {
-                    tracker.onVoterReply(exchange, now, absent, m_voter.onQuestion(absent, mark, now));
+                    tracker.onVoterReply(exchange, now, absent, m_voter.onAbsenceQuery(absent, mark, now));
                     continue;
                 }
                 const InstanceRow* row = instances->find(voter);
