--- a/packages/assignments/include/toucanstep/assignments/VoterState.h
+++ b/packages/assignments/include/toucanstep/assignments/VoterState.h
@@ -29,7 +29,7 @@
 struct VoterReply {
     base::InstanceId voter;
     // How long this voter has not vouched for the instance; no longer than it has been up.
-    base::Duration unheard {};
+    base::Duration silentFor {};
     // The mark under which it has promised not to vouch; zero where none was asked for.
     base::Revision promisedUnder;
 };
--- a/packages/assignments/src/FailureDetector.cpp
+++ b/packages/assignments/src/FailureDetector.cpp
@@ -103,7 +103,7 @@
     std::set<base::InstanceId> unheard;
     for (const auto& [voter, heard] : watched.replies) {
         bool recent = now <= heard.receivedAt + m_timing.absence;
-        if (recent && heard.reply.unheard >= m_timing.absence)
+        if (recent && heard.reply.silentFor >= m_timing.absence)
             unheard.insert(voter);
     }
     return isMajorityOfEachSet(m_voterSets, unheard);
@@ -114,7 +114,7 @@
     std::set<base::InstanceId> stopped;
     for (const auto& [voter, heard] : watched.replies) {
         // What that voter vouched for before it promised has ended once the rest of the time has passed here.
-        Instant endsAt = heard.receivedAt + std::max(base::Duration::zero(), m_timing.absence - heard.reply.unheard);
+        Instant endsAt = heard.receivedAt + std::max(base::Duration::zero(), m_timing.absence - heard.reply.silentFor);
         if (heard.reply.promisedUnder == watched.mark && now >= endsAt)
             stopped.insert(voter);
     }
--- a/packages/assignments/test/UnitTest.cpp
+++ b/packages/assignments/test/UnitTest.cpp
@@ -276,7 +276,7 @@
     CHECK_TRUE(voter.vouchFor(InstanceId("a"), at(seconds(1))));
     VoterReply reply = voter.onAbsenceQuery(InstanceId("a"), Revision(7), at(seconds(3)));
     CHECK_EQUAL(7, reply.promisedUnder.value());
-    CHECK_TRUE(reply.unheard == seconds(2));
+    CHECK_TRUE(reply.silentFor == seconds(2));
     voter.onServiceRead(Revision(6), {}, voterSetsOf(threeVoters));
     CHECK_FALSE(voter.vouchFor(InstanceId("a"), at(seconds(4))));
     voter.onServiceRead(Revision(9), {}, voterSetsOf(threeVoters));
--- a/packages/node/src/AssignmentAgent.cpp
+++ b/packages/node/src/AssignmentAgent.cpp
@@ -348,7 +348,7 @@
     }
     m_node.control().post([this, instance, mark, responder = std::move(responder)] {
         VoterReply vote = m_voter.onAbsenceQuery(instance, mark, m_node.control().now());
-        std::string reply = peers::FieldWriter().addDuration(vote.unheard).add(vote.promisedUnder.value()).add(m_voter.generation().value()).finish();
+        std::string reply = peers::FieldWriter().addDuration(vote.silentFor).add(vote.promisedUnder.value()).add(m_voter.generation().value()).finish();
         m_node.traffic().post([responder, reply] {
             responder->send(reply);
             responder->finish();
