--- a/packages/assignments/include/toucanstep/assignments/FailureDetector.h
+++ b/packages/assignments/include/toucanstep/assignments/FailureDetector.h
@@ -40,13 +40,13 @@
 };
 
 // Whether a row may be taken over. The baseline of leases that expire implements it as well.
-class TakeRule {
+class TakeoverPolicy {
 public:
-    virtual ~TakeRule() = default;
-    virtual bool mayTake(const Row&, base::Instant now) const = 0;
+    virtual ~TakeoverPolicy() = default;
+    virtual bool mayTakeOver(const Row&, base::Instant now) const = 0;
 };
 
-class FailureDetector : public TakeRule {
+class FailureDetector : public TakeoverPolicy {
 public:
     explicit FailureDetector(Timing);
 
@@ -69,7 +69,7 @@
     std::vector<base::InstanceId> instancesToQuery(base::Instant now) const;
     std::optional<TakeoverProof> takeoverProof(const base::InstanceId&, base::Instant now) const;
 
-    bool mayTake(const Row&, base::Instant now) const override;
+    bool mayTakeOver(const Row&, base::Instant now) const override;
     // Whether the list has certainly dropped a watched instance, however long ago; when to choose another voter.
     bool listHasDropped(const base::InstanceId&) const;
     // Whether a watched voter has been dropped for so long that it vouches for nobody any more.
--- a/packages/assignments/include/toucanstep/assignments/HolderState.h
+++ b/packages/assignments/include/toucanstep/assignments/HolderState.h
@@ -24,9 +24,9 @@
 namespace toucanstep::assignments {
 
 // Whether rows may be used. The baseline of leases that expire implements it as well.
-class UseRule {
+class UsePolicy {
 public:
-    virtual ~UseRule() = default;
+    virtual ~UsePolicy() = default;
     virtual bool mayUse(const Row&, base::Instant now) const = 0;
 };
 
@@ -36,7 +36,7 @@
     base::Instant deadline;
 };
 
-class HolderState : public UseRule {
+class HolderState : public UsePolicy {
 public:
     HolderState(Holder self, Timing);
 
--- a/packages/assignments/include/toucanstep/assignments/LeaseExpiry.h
+++ b/packages/assignments/include/toucanstep/assignments/LeaseExpiry.h
@@ -10,9 +10,9 @@
 
 namespace toucanstep::assignments {
 
-class LeaseExpiryUse final : public UseRule {
+class LeaseUsePolicy final : public UsePolicy {
 public:
-    LeaseExpiryUse(Holder self, base::Duration timeToLive);
+    LeaseUsePolicy(Holder self, base::Duration timeToLive);
     // The service answered a renewal that was sent at `sentAt`.
     void onRenewed(base::Instant sentAt);
     bool mayUse(const Row&, base::Instant now) const override;
@@ -23,12 +23,12 @@
     std::optional<base::Instant> m_renewedAt;
 };
 
-class LeaseExpiryTake final : public TakeRule {
+class LeaseTakeoverPolicy final : public TakeoverPolicy {
 public:
-    LeaseExpiryTake(base::Duration timeToLive, base::Duration margin);
+    LeaseTakeoverPolicy(base::Duration timeToLive, base::Duration margin);
     // A read of the service showed this renewal count of the instance's lease.
     void onLeaseSeen(const base::InstanceId&, uint64_t renewals, base::Instant now);
-    bool mayTake(const Row&, base::Instant now) const override;
+    bool mayTakeOver(const Row&, base::Instant now) const override;
 
 private:
     struct Seen {
--- a/packages/assignments/src/FailureDetector.cpp
+++ b/packages/assignments/src/FailureDetector.cpp
@@ -163,7 +163,7 @@
     return TakeoverProof { instance, markRevisionOf(instance), m_voterSets.modified };
 }
 
-bool FailureDetector::mayTake(const Row& row, Instant now) const
+bool FailureDetector::mayTakeOver(const Row& row, Instant now) const
 {
     return phase(row.holder.instance, now) == FailurePhase::TakeoverAllowed;
 }
--- a/packages/assignments/src/LeaseExpiry.cpp
+++ b/packages/assignments/src/LeaseExpiry.cpp
@@ -6,36 +6,36 @@
 
 using base::Instant;
 
-LeaseExpiryUse::LeaseExpiryUse(Holder self, base::Duration timeToLive)
+LeaseUsePolicy::LeaseUsePolicy(Holder self, base::Duration timeToLive)
     : m_self(std::move(self))
     , m_timeToLive(timeToLive)
 {
 }
 
-void LeaseExpiryUse::onRenewed(Instant sentAt)
+void LeaseUsePolicy::onRenewed(Instant sentAt)
 {
     m_renewedAt = m_renewedAt ? std::max(*m_renewedAt, sentAt) : sentAt;
 }
 
-bool LeaseExpiryUse::mayUse(const Row& row, Instant now) const
+bool LeaseUsePolicy::mayUse(const Row& row, Instant now) const
 {
     return row.holder == m_self && m_renewedAt && now <= *m_renewedAt + m_timeToLive;
 }
 
-LeaseExpiryTake::LeaseExpiryTake(base::Duration timeToLive, base::Duration margin)
+LeaseTakeoverPolicy::LeaseTakeoverPolicy(base::Duration timeToLive, base::Duration margin)
     : m_timeToLive(timeToLive)
     , m_margin(margin)
 {
 }
 
-void LeaseExpiryTake::onLeaseSeen(const base::InstanceId& instance, uint64_t renewals, Instant now)
+void LeaseTakeoverPolicy::onLeaseSeen(const base::InstanceId& instance, uint64_t renewals, Instant now)
 {
     auto [found, isNew] = m_seen.emplace(instance, Seen { renewals, now });
     if (!isNew && renewals > found->second.renewals)
         found->second = Seen { renewals, now };
 }
 
-bool LeaseExpiryTake::mayTake(const Row& row, Instant now) const
+bool LeaseTakeoverPolicy::mayTakeOver(const Row& row, Instant now) const
 {
     auto found = m_seen.find(row.holder.instance);
     return found != m_seen.end() && now > found->second.since + m_timeToLive + m_margin;
--- a/packages/assignments/test/FleetModel.cpp
+++ b/packages/assignments/test/FleetModel.cpp
@@ -36,8 +36,8 @@
         , detector(parts.makeDetector(options.timing))
         , mover(self)
         , voter(self.instance, options.timing, local(startedAt))
-        , leaseUse(self, options.leaseTimeToLive)
-        , leaseTake(options.leaseTimeToLive, seconds(1))
+        , leaseUsePolicy(self, options.leaseTimeToLive)
+        , leaseTakeoverPolicy(options.leaseTimeToLive, seconds(1))
     {
     }
 
@@ -52,8 +52,8 @@
     AssignmentTable table;
     Mover mover;
     VoterState voter;
-    LeaseExpiryUse leaseUse;
-    LeaseExpiryTake leaseTake;
+    LeaseUsePolicy leaseUsePolicy;
+    LeaseTakeoverPolicy leaseTakeoverPolicy;
     VoterSets voterSets;
     std::set<InstanceId> listed;
     std::map<InstanceId, Generation> generations;
@@ -281,13 +281,13 @@
 void Fleet::beat(Process& process)
 {
     process.nextBeat = m_now + beatLength;
-    if (m_options.rule == RowRule::LeaseExpiry)
+    if (m_options.rule == OwnershipProtocol::LeaseExpiry)
         renewLease(process);
     readService(process);
     readList(process);
     askVoters(process);
     moveRows(process);
-    if (m_options.rule == RowRule::ListAndVoters)
+    if (m_options.rule == OwnershipProtocol::ListAndVoters)
         maintainVoterSet(process);
 }
 
@@ -327,7 +327,7 @@
             voterSets = base::valueOr(error, [&] { return decodeVoterSets(entry); });
         else if (entry.key.rfind("/lease/", 0) == 0) {
             InstanceId owner(entry.key.substr(7));
-            self.leaseTake.onLeaseSeen(owner, std::stoull(entry.value), now);
+            self.leaseTakeoverPolicy.onLeaseSeen(owner, std::stoull(entry.value), now);
             self.leases[owner] = entry.modified;
         } else if (entry.key.rfind(allRowsPrefix, 0) == 0)
             rows.entries.push_back(entry);
@@ -446,7 +446,7 @@
     Instant now = process.local(m_now);
     if (!process.hasRead)
         return;
-    bool leases = m_options.rule == RowRule::LeaseExpiry;
+    bool leases = m_options.rule == OwnershipProtocol::LeaseExpiry;
     for (size_t index = 0; index < m_options.rows; ++index) {
         RowKey key = rowKey(index);
         if (process.moving.count(key))
@@ -464,7 +464,7 @@
         if (own || !chance(50))
             continue;
         if (leases) {
-            if (!process.leaseTake.mayTake(*row, now))
+            if (!process.leaseTakeoverPolicy.mayTakeOver(*row, now))
                 continue;
             Move move = process.mover.adopt(*row, process.read);
             move.transaction.comparisons.push_back({ leaseKey(row->holder.instance), process.leases[row->holder.instance] });
@@ -524,7 +524,7 @@
     Instant sentAt = process.local(m_now);
     commit(process, transaction, [sentAt](Process& self, const auto& outcome) {
         if (std::holds_alternative<base::TransactionReply>(outcome))
-            self.leaseUse.onRenewed(sentAt);
+            self.leaseUsePolicy.onRenewed(sentAt);
     });
 }
 
@@ -627,8 +627,8 @@
 
 bool Fleet::mayUse(const Process& process, const Row& row) const
 {
-    if (m_options.rule == RowRule::LeaseExpiry)
-        return process.leaseUse.mayUse(row, process.local(m_now));
+    if (m_options.rule == OwnershipProtocol::LeaseExpiry)
+        return process.leaseUsePolicy.mayUse(row, process.local(m_now));
     return process.holder->mayUse(row, process.local(m_now));
 }
 
--- a/packages/assignments/test/FleetModel.h
+++ b/packages/assignments/test/FleetModel.h
@@ -24,7 +24,7 @@
 
 namespace toucanstep::assignments::test {
 
-enum class RowRule {
+enum class OwnershipProtocol {
     ListAndVoters,
     LeaseExpiry,
 };
@@ -46,7 +46,7 @@
     Timing timing;
     bool versionedList = true;
     bool lossyNetwork = true;
-    RowRule rule = RowRule::ListAndVoters;
+    OwnershipProtocol rule = OwnershipProtocol::ListAndVoters;
     base::Duration leaseTimeToLive = std::chrono::seconds(10);
     uint64_t seed = 1;
     const PartsFactory* parts = nullptr;
--- a/packages/assignments/test/StoryTest.cpp
+++ b/packages/assignments/test/StoryTest.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-FleetOptions calmOptions(RowRule rule = RowRule::ListAndVoters)
+FleetOptions calmOptions(OwnershipProtocol rule = OwnershipProtocol::ListAndVoters)
 {
     FleetOptions options;
     options.lossyNetwork = false;
@@ -156,7 +156,7 @@
         double outageAndDeath;
         double recovery;
     };
-    auto measure = [](RowRule rule) {
+    auto measure = [](OwnershipProtocol rule) {
         auto outage = settledFleet(calmOptions(rule));
         outage->perform({ FleetAction::StartOutage, 0, seconds(60) });
         auto both = settledFleet(calmOptions(rule));
@@ -165,11 +165,11 @@
         auto death = settledFleet(calmOptions(rule));
         death->perform({ FleetAction::Vanish, *death->userOf(0), {} });
         Cost cost { toSeconds(outage->unusable()) / toSeconds(outage->observed()), toSeconds(both->unusable()) / toSeconds(both->observed()), toSeconds(untilUsable(*death, 0, minutes(3))) };
-        UT_PRINT(StringFromFormat("%s: unused rows x time in a 60 s outage %.3f, with a death in it %.3f; recovery after a death %.2f s", rule == RowRule::LeaseExpiry ? "leases" : "list and voters", cost.outage, cost.outageAndDeath, cost.recovery));
+        UT_PRINT(StringFromFormat("%s: unused rows x time in a 60 s outage %.3f, with a death in it %.3f; recovery after a death %.2f s", rule == OwnershipProtocol::LeaseExpiry ? "leases" : "list and voters", cost.outage, cost.outageAndDeath, cost.recovery));
         return cost;
     };
-    Cost leases = measure(RowRule::LeaseExpiry);
-    Cost ours = measure(RowRule::ListAndVoters);
+    Cost leases = measure(OwnershipProtocol::LeaseExpiry);
+    Cost ours = measure(OwnershipProtocol::ListAndVoters);
     CHECK_EQUAL(0.0, ours.outage);
     CHECK_COMPARE(leases.outage, >, 0.5);
     CHECK_COMPARE(ours.outageAndDeath, <, leases.outageAndDeath);
