--- a/packages/assignments/include/toucanstep/assignments/AssignmentTable.h
+++ b/packages/assignments/include/toucanstep/assignments/AssignmentTable.h
@@ -46,16 +46,16 @@
 
     void apply(const RowKey&, std::optional<Row>, base::Revision);
     base::Result<Row> rowOf(const base::KeyValue&) const;
-    void forgetOldDeletions();
-    void noteReadUpTo(std::string_view prefix, base::Revision);
-    base::Revision readUpTo(const RowKey&) const;
+    void pruneTombstones();
+    void raiseReadRevision(std::string_view prefix, base::Revision);
+    base::Revision readRevision(const RowKey&) const;
     template <typename Predicate>
     std::vector<Row> select(Predicate&&) const;
 
     std::map<RowKey, Entry> m_entries;
     // For each prefix the revision up to which a key under it that the table does not list is known not to exist. Without
     // it a late event would bring back a row whose deletion a read has already shown by leaving it out.
-    std::map<std::string, base::Revision, std::less<>> m_readUpTo;
+    std::map<std::string, base::Revision, std::less<>> m_readRevisions;
     uint64_t m_changes = 0;
 };
 
--- a/packages/assignments/include/toucanstep/assignments/FailureDetector.h
+++ b/packages/assignments/include/toucanstep/assignments/FailureDetector.h
@@ -1,6 +1,6 @@
 // Whether the rows of an instance may be taken over.
 //
-// For each instance that holds rows, in this order: the list has dropped it; a majority of the voters has not heard it
+// For each instance that holds rows, in this order: the list has dropped it; a majority of the voters has not received it
 // for Timing::absence; a gone mark is written; a majority promises under that mark; then its rows may be taken, by
 // transactions that compare the mark and the voterSets. Any newer answer of the list that shows the instance starts again.
 
@@ -23,7 +23,7 @@
     Present,
     // Absent from the list, but not proved to be dropped for long enough.
     Absent,
-    // Dropped and unheard for long enough: the mark can be written.
+    // Dropped and silent for long enough: the mark can be written.
     MarkNeeded,
     // The mark stands; promises are being gathered.
     Marked,
@@ -76,12 +76,12 @@
     bool hasStoppedVouching(const base::InstanceId&, base::Instant now) const;
 
 protected:
-    struct Heard {
+    struct ReceivedReply {
         VoterReply reply;
         base::Instant receivedAt;
     };
 
-    struct Watched {
+    struct WatchedInstance {
         base::Instant watchedAt;
         bool shown = false;
         // The list's newest version that showed it.
@@ -92,20 +92,20 @@
         base::Instant absentAskedAt;
         bool dropped = false;
         base::Revision mark;
-        std::map<base::InstanceId, Heard> replies;
+        std::map<base::InstanceId, ReceivedReply> replies;
     };
 
     // Seeded faults of the tests override these.
-    virtual bool isDropped(const Watched&) const;
-    virtual bool absenceStood(const Watched&, base::Instant now) const;
-    virtual bool unheardByMajority(const Watched&, base::Instant now) const;
-    virtual bool promisedByMajority(const Watched&, base::Instant now) const;
+    virtual bool isDropped(const WatchedInstance&) const;
+    virtual bool isAbsentLongEnough(const WatchedInstance&, base::Instant now) const;
+    virtual bool isSilentToMajority(const WatchedInstance&, base::Instant now) const;
+    virtual bool promisedByMajority(const WatchedInstance&, base::Instant now) const;
 
     const Timing& timing() const { return m_timing; }
     const VoterSets& voterSets() const { return m_voterSets; }
 
 private:
-    FailurePhase phaseOf(const Watched&, base::Instant now) const;
+    FailurePhase phaseOf(const WatchedInstance&, base::Instant now) const;
 
     Timing m_timing;
     VoterSets m_voterSets;
@@ -116,7 +116,7 @@
     std::optional<base::Instant> m_newestSentAt;
     base::Revision m_marksKnownAt;
     std::map<base::InstanceId, base::Revision> m_marks;
-    std::map<base::InstanceId, Watched> m_watched;
+    std::map<base::InstanceId, WatchedInstance> m_watched;
 };
 
 } // namespace toucanstep::assignments
--- a/packages/assignments/include/toucanstep/assignments/HolderState.h
+++ b/packages/assignments/include/toucanstep/assignments/HolderState.h
@@ -49,7 +49,7 @@
     // An answer of the platform's list. `version` is its resource version where it has one. An answer older than one
     // that was already seen is left aside.
     void onListAnswer(Exchange, base::Instant now, std::optional<uint64_t> version, bool showsSelf);
-    // A gateway's answer to this process: it heard us, and vouches for us under that generation or refuses to.
+    // A gateway's answer to this process: it received us, and vouches for us under that generation or refuses to.
     void onVoterAnswer(Exchange, base::Instant now, const base::InstanceId& voter, Generation, bool vouches);
     // A newer set of voters, learned from a gateway.
     void onVoterSet(const VoterSet&);
@@ -61,7 +61,7 @@
     bool mayUse(const Row&, base::Instant now) const override;
     // Whether this process has relinquished the row as it stands; a later revision that names it is a new row.
     bool hasRelinquished(const Row&) const;
-    // The instant at which use ends if nothing more is heard; the past where it may not be used now.
+    // The instant at which use ends if nothing more is received; the past where it may not be used now.
     base::Instant usableUntil() const;
     // Whether the platform's word that this instance is gone stands against it.
     bool markedGone() const { return m_marked; }
@@ -85,7 +85,7 @@
 private:
     // Until when a new proof continues the former ones.
     base::Instant continuousUntil() const;
-    void noteEvidence(base::Instant continuous);
+    void detectLapse(base::Instant continuous);
     void endLapse(base::Instant provedAt);
 
     Holder m_self;
@@ -97,7 +97,7 @@
     std::optional<base::Instant> m_listSentAt;
     std::optional<uint64_t> m_listVersion;
     std::optional<base::Instant> m_newestListAnswer;
-    // When use ended because nothing was heard; only proofs that were asked for later bring it back.
+    // When use ended because nothing was received; only proofs that were asked for later bring it back.
     std::optional<base::Instant> m_lapsedAt;
     VoterSet m_voterSet;
     std::map<base::InstanceId, base::Instant> m_vouchedAt;
--- a/packages/assignments/include/toucanstep/assignments/Mover.h
+++ b/packages/assignments/include/toucanstep/assignments/Mover.h
@@ -98,7 +98,7 @@
 
     Move begin(MoveKind, std::string key, base::Revision compared, std::optional<Row>, WriteNonce, base::Transaction);
     Move write(MoveKind, Row, base::Revision compared, const std::vector<base::Comparison>& conditions);
-    static bool wrote(const Pending&, const base::KeyValue&);
+    static bool isWrittenBy(const Pending&, const base::KeyValue&);
     WriteNonce nextNonce();
 
     Holder m_self;
--- a/packages/assignments/include/toucanstep/assignments/Row.h
+++ b/packages/assignments/include/toucanstep/assignments/Row.h
@@ -53,7 +53,7 @@
     WriteNonce writer;
     // Opaque to this library; what the kind keeps with its row.
     std::string payload;
-    // The revision that wrote the row; not part of the stored value.
+    // The revision that isWrittenBy the row; not part of the stored value.
     base::Revision modified;
 
     friend bool operator==(const Row&, const Row&) = default;
--- a/packages/assignments/include/toucanstep/assignments/Timing.h
+++ b/packages/assignments/include/toucanstep/assignments/Timing.h
@@ -12,7 +12,7 @@
 struct Timing {
     // How long a holder goes on after the newest request whose answer proved that it is still in.
     base::Duration holderLimit = std::chrono::seconds(5);
-    // How long a holder must have been absent from the list and unheard before its rows move.
+    // How long a holder must have been absent from the list and silent before its rows move.
     base::Duration absence = std::chrono::seconds(6);
     // The oldest state that an answer of the platform's list may show.
     base::Duration listLag = std::chrono::seconds(10);
--- a/packages/assignments/include/toucanstep/assignments/VoterSet.h
+++ b/packages/assignments/include/toucanstep/assignments/VoterSet.h
@@ -1,4 +1,4 @@
-// The gateways that are asked whether a holder is still heard, agreed through one entry of the key-value service.
+// The gateways that are asked whether a holder is still received, agreed through one entry of the key-value service.
 //
 // A holder that hears a majority and a taker that asks a majority meet in one gateway, but only if both mean the same
 // set. So the set is versioned, a change keeps the former set until a majority of it has promised to vouch under it no
@@ -31,7 +31,7 @@
     VoterSet current;
     // The former set, until it is retired.
     std::optional<VoterSet> previous;
-    // The revision that wrote the entry; zero where there is none yet.
+    // The revision that isWrittenBy the entry; zero where there is none yet.
     base::Revision modified;
 };
 
@@ -46,7 +46,7 @@
 // know the current generation, or that the list has dropped for longer than a voter vouches without it.
 std::optional<base::Transaction> retirePrevious(const VoterSets&, const std::set<base::InstanceId>& promised);
 
-// Whether `who` holds a majority of each set that is kept.
-bool isMajorityOfEachSet(const VoterSets&, const std::set<base::InstanceId>& who);
+// Whether `voters` holds a majority of each set that is kept.
+bool isMajorityOfEachSet(const VoterSets&, const std::set<base::InstanceId>& voters);
 
 } // namespace toucanstep::assignments
--- a/packages/assignments/include/toucanstep/assignments/VoterState.h
+++ b/packages/assignments/include/toucanstep/assignments/VoterState.h
@@ -2,7 +2,7 @@
 //
 // A voter remembers when it last vouched for each instance, says so when asked, and once it has promised under a gone
 // mark it never vouches for that instance while the mark stands. A voter that has just started has lost that memory: it
-// vouches for nobody before it has read the marks from the service, and its word that it has not heard an instance
+// vouches for nobody before it has read the marks from the service, and its word that it has not received an instance
 // counts only once it has been up for Timing::absence, because its predecessor may have vouched until it died.
 
 #pragma once
@@ -54,13 +54,13 @@
     const VoterSet& voterSet() const { return m_voterSet; }
 
 private:
-    void forgetOld(base::Instant now);
+    void pruneOldVotes(base::Instant now);
 
     base::InstanceId m_self;
     Timing m_timing;
     base::Instant m_startedAt;
     // When votes that nobody can need any more were last dropped.
-    base::Instant m_swept;
+    base::Instant m_lastPrunedAt;
     bool m_hasRead = false;
     base::Revision m_marksRead;
     std::optional<base::Instant> m_listedAt;
--- a/packages/assignments/src/AssignmentTable.cpp
+++ b/packages/assignments/src/AssignmentTable.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 // Deletions are remembered so that a late event does not undo them, up to this many.
-constexpr size_t rememberedDeletions = 4096;
+constexpr size_t maxTombstones = 4096;
 }
 
 std::vector<std::string> AssignmentTable::applyRange(std::string_view prefix, const base::RangeReply& reply)
@@ -31,8 +31,8 @@
         apply(key, std::nullopt, reply.revision);
     for (auto& [key, row] : read)
         apply(key, std::move(row), reply.revision);
-    noteReadUpTo(prefix, reply.revision);
-    forgetOldDeletions();
+    raiseReadRevision(prefix, reply.revision);
+    pruneTombstones();
     return malformed;
 }
 
@@ -55,7 +55,7 @@
         else
             malformed.push_back(event.entry.key);
     }
-    forgetOldDeletions();
+    pruneTombstones();
     return malformed;
 }
 
@@ -77,14 +77,14 @@
 void AssignmentTable::applyDeletion(const RowKey& key, base::Revision revision)
 {
     apply(key, std::nullopt, revision);
-    forgetOldDeletions();
+    pruneTombstones();
 }
 
 void AssignmentTable::apply(const RowKey& key, std::optional<Row> row, base::Revision known)
 {
     auto found = m_entries.find(key);
     if (found == m_entries.end()) {
-        if (known < readUpTo(key))
+        if (known < readRevision(key))
             return;
         m_entries.emplace(key, Entry { std::move(row), known });
         ++m_changes;
@@ -100,35 +100,35 @@
     ++m_changes;
 }
 
-void AssignmentTable::forgetOldDeletions()
+void AssignmentTable::pruneTombstones()
 {
     std::vector<std::pair<base::Revision, RowKey>> deletions;
     for (const auto& [key, entry] : m_entries) {
         if (!entry.row)
             deletions.emplace_back(entry.known, key);
     }
-    if (deletions.size() <= rememberedDeletions)
+    if (deletions.size() <= maxTombstones)
         return;
     std::sort(deletions.begin(), deletions.end());
-    deletions.resize(deletions.size() - rememberedDeletions / 2);
+    deletions.resize(deletions.size() - maxTombstones / 2);
     for (const auto& [revision, key] : deletions) {
-        noteReadUpTo(allRowsPrefix, revision);
+        raiseReadRevision(allRowsPrefix, revision);
         m_entries.erase(key);
     }
 }
 
-void AssignmentTable::noteReadUpTo(std::string_view prefix, base::Revision revision)
+void AssignmentTable::raiseReadRevision(std::string_view prefix, base::Revision revision)
 {
-    auto [found, isNew] = m_readUpTo.emplace(prefix, revision);
+    auto [found, isNew] = m_readRevisions.emplace(prefix, revision);
     if (!isNew)
         found->second = std::max(found->second, revision);
 }
 
-base::Revision AssignmentTable::readUpTo(const RowKey& key) const
+base::Revision AssignmentTable::readRevision(const RowKey& key) const
 {
     base::Revision latest;
     std::string stored = storageKey(key);
-    for (const auto& [prefix, revision] : m_readUpTo) {
+    for (const auto& [prefix, revision] : m_readRevisions) {
         if (stored.compare(0, prefix.size(), prefix) == 0)
             latest = std::max(latest, revision);
     }
--- a/packages/assignments/src/FailureDetector.cpp
+++ b/packages/assignments/src/FailureDetector.cpp
@@ -13,7 +13,7 @@
 
 void FailureDetector::watch(const base::InstanceId& instance, Instant now)
 {
-    Watched watched;
+    WatchedInstance watched;
     watched.watchedAt = now;
     watched.mark = m_marks.count(instance) ? m_marks.at(instance) : base::Revision();
     m_watched.emplace(instance, watched);
@@ -83,52 +83,52 @@
     // Replies may cross: one without the promise, or under an earlier mark, does not undo a later one.
     bool older = known != replies.end() && known->second.reply.promisedUnder > reply.promisedUnder;
     if (!older)
-        replies[reply.voter] = Heard { reply, now };
+        replies[reply.voter] = ReceivedReply { reply, now };
 }
 
-bool FailureDetector::isDropped(const Watched& watched) const
+bool FailureDetector::isDropped(const WatchedInstance& watched) const
 {
     if (!watched.absentSince)
         return false;
     return watched.dropped || watched.absentAskedAt > *watched.absentSince + m_timing.listLag;
 }
 
-bool FailureDetector::absenceStood(const Watched& watched, Instant now) const
+bool FailureDetector::isAbsentLongEnough(const WatchedInstance& watched, Instant now) const
 {
     return watched.absentSince && now > *watched.absentSince + absenceFromList(m_timing);
 }
 
-bool FailureDetector::unheardByMajority(const Watched& watched, Instant now) const
+bool FailureDetector::isSilentToMajority(const WatchedInstance& watched, Instant now) const
 {
-    std::set<base::InstanceId> unheard;
-    for (const auto& [voter, heard] : watched.replies) {
-        bool recent = now <= heard.receivedAt + m_timing.absence;
-        if (recent && heard.reply.silentFor >= m_timing.absence)
-            unheard.insert(voter);
+    std::set<base::InstanceId> silent;
+    for (const auto& [voter, received] : watched.replies) {
+        bool recent = now <= received.receivedAt + m_timing.absence;
+        if (recent && received.reply.silentFor >= m_timing.absence)
+            silent.insert(voter);
     }
-    return isMajorityOfEachSet(m_voterSets, unheard);
+    return isMajorityOfEachSet(m_voterSets, silent);
 }
 
-bool FailureDetector::promisedByMajority(const Watched& watched, Instant now) const
+bool FailureDetector::promisedByMajority(const WatchedInstance& watched, Instant now) const
 {
     std::set<base::InstanceId> stopped;
-    for (const auto& [voter, heard] : watched.replies) {
+    for (const auto& [voter, received] : watched.replies) {
         // What that voter vouched for before it promised has ended once the rest of the time has passed here.
-        Instant endsAt = heard.receivedAt + std::max(base::Duration::zero(), m_timing.absence - heard.reply.silentFor);
-        if (heard.reply.promisedUnder == watched.mark && now >= endsAt)
+        Instant endsAt = received.receivedAt + std::max(base::Duration::zero(), m_timing.absence - received.reply.silentFor);
+        if (received.reply.promisedUnder == watched.mark && now >= endsAt)
             stopped.insert(voter);
     }
     return isMajorityOfEachSet(m_voterSets, stopped);
 }
 
-FailurePhase FailureDetector::phaseOf(const Watched& watched, Instant now) const
+FailurePhase FailureDetector::phaseOf(const WatchedInstance& watched, Instant now) const
 {
     if (!watched.absentSince)
         return FailurePhase::Present;
-    if (!isDropped(watched) || !absenceStood(watched, now))
+    if (!isDropped(watched) || !isAbsentLongEnough(watched, now))
         return FailurePhase::Absent;
     if (watched.mark == base::Revision())
-        return unheardByMajority(watched, now) ? FailurePhase::MarkNeeded : FailurePhase::Absent;
+        return isSilentToMajority(watched, now) ? FailurePhase::MarkNeeded : FailurePhase::Absent;
     bool voterSetsStable = m_voterSetsSince && now >= *m_voterSetsSince + m_timing.absence;
     return voterSetsStable && promisedByMajority(watched, now) ? FailurePhase::TakeoverAllowed : FailurePhase::Marked;
 }
--- a/packages/assignments/src/HolderState.cpp
+++ b/packages/assignments/src/HolderState.cpp
@@ -47,7 +47,7 @@
         return;
     Instant continuous = continuousUntil();
     m_listSentAt = exchange.sentAt;
-    noteEvidence(continuous);
+    detectLapse(continuous);
 }
 
 void HolderState::onVoterAnswer(Exchange exchange, Instant now, const base::InstanceId& voter, Generation generation, bool vouches)
@@ -61,7 +61,7 @@
     auto [found, isNew] = m_vouchedAt.emplace(voter, exchange.sentAt);
     if (!isNew)
         found->second = std::max(found->second, exchange.sentAt);
-    noteEvidence(continuous);
+    detectLapse(continuous);
     if (auto evidence = voterEvidence())
         endLapse(*evidence);
 }
@@ -107,7 +107,7 @@
 }
 
 // A lapse shows when the next proof comes: it was asked for after the former ones had ended.
-void HolderState::noteEvidence(Instant continuous)
+void HolderState::detectLapse(Instant continuous)
 {
     auto evidence = newestEvidence();
     if (lapses() && m_hasRead && !m_lapsedAt && evidence && *evidence > continuous)
--- a/packages/assignments/src/Mover.cpp
+++ b/packages/assignments/src/Mover.cpp
@@ -20,13 +20,13 @@
 bool isAboutMark(MoveKind kind) { return kind == MoveKind::MarkGone || kind == MoveKind::LiftMark; }
 
 // Whether the move is done with once the entry is no longer what it was, whoever changed it.
-bool endsWithAnyChange(MoveKind kind)
+bool completesOnAnyChange(MoveKind kind)
 {
     return kind == MoveKind::Release || kind == MoveKind::HandOver || kind == MoveKind::LiftMark;
 }
 
 // Whether the error says that the transaction was certainly not carried out.
-bool isCertain(const base::Error& error)
+bool isDefinitelyNotApplied(const base::Error& error)
 {
     return error.kind == base::ErrorKind::Unavailable || error.kind == base::ErrorKind::Rejected;
 }
@@ -133,7 +133,7 @@
     if (pending.state == MoveState::Committed || pending.state == MoveState::Failed)
         return pending.state;
     if (const auto* error = std::get_if<base::Error>(&outcome)) {
-        pending.state = isCertain(*error) ? MoveState::Failed : MoveState::NeedsRead;
+        pending.state = isDefinitelyNotApplied(*error) ? MoveState::Failed : MoveState::NeedsRead;
         return pending.state;
     }
     const auto& reply = std::get<base::TransactionReply>(outcome);
@@ -157,18 +157,18 @@
         pending.state = MoveState::InDoubt;
         return pending.state;
     }
-    if (entry != reply.entries.end() && wrote(pending, *entry)) {
+    if (entry != reply.entries.end() && isWrittenBy(pending, *entry)) {
         pending.state = MoveState::Committed;
         pending.committed = entry->modified;
         return pending.state;
     }
-    pending.state = endsWithAnyChange(pending.kind) ? MoveState::Committed : MoveState::Failed;
+    pending.state = completesOnAnyChange(pending.kind) ? MoveState::Committed : MoveState::Failed;
     pending.committed = reply.revision;
     pending.row.reset();
     return pending.state;
 }
 
-bool Mover::wrote(const Pending& pending, const base::KeyValue& entry)
+bool Mover::isWrittenBy(const Pending& pending, const base::KeyValue& entry)
 {
     if (isAboutMark(pending.kind))
         return entry.value == pending.nonce.value();
--- a/packages/assignments/src/Row.cpp
+++ b/packages/assignments/src/Row.cpp
@@ -180,7 +180,7 @@
 
 base::Epoch nextEpoch(base::Revision read)
 {
-    // Every earlier epoch of the key is at most the revision that wrote it, and so at most the revision of the read.
+    // Every earlier epoch of the key is at most the revision that isWrittenBy it, and so at most the revision of the read.
     return base::Epoch(read.value() + 1);
 }
 
--- a/packages/assignments/src/VoterSet.cpp
+++ b/packages/assignments/src/VoterSet.cpp
@@ -30,9 +30,9 @@
     return voterSet;
 }
 
-bool isMajority(const VoterSet& voterSet, const std::set<base::InstanceId>& who)
+bool isMajority(const VoterSet& voterSet, const std::set<base::InstanceId>& voters)
 {
-    auto counted = std::count_if(voterSet.members.begin(), voterSet.members.end(), [&](const auto& member) { return who.count(member) > 0; });
+    auto counted = std::count_if(voterSet.members.begin(), voterSet.members.end(), [&](const auto& member) { return voters.count(member) > 0; });
     return static_cast<size_t>(counted) >= voterSet.majority();
 }
 
@@ -90,11 +90,11 @@
     return write(VoterSets { known.current, std::nullopt, {} }, known.modified);
 }
 
-bool isMajorityOfEachSet(const VoterSets& voterSets, const std::set<base::InstanceId>& who)
+bool isMajorityOfEachSet(const VoterSets& voterSets, const std::set<base::InstanceId>& voters)
 {
-    if (voterSets.previous && !isMajority(*voterSets.previous, who))
+    if (voterSets.previous && !isMajority(*voterSets.previous, voters))
         return false;
-    return isMajority(voterSets.current, who);
+    return isMajority(voterSets.current, voters);
 }
 
 } // namespace toucanstep::assignments
--- a/packages/assignments/src/VoterState.cpp
+++ b/packages/assignments/src/VoterState.cpp
@@ -43,7 +43,7 @@
     if (!valid || m_promised.count(instance))
         return false;
     m_vouchedAt[instance] = now;
-    forgetOld(now);
+    pruneOldVotes(now);
     return true;
 }
 
@@ -63,11 +63,11 @@
     return VoterReply { m_self, now - since, promised == m_promised.end() ? base::Revision() : promised->second };
 }
 
-void VoterState::forgetOld(Instant now)
+void VoterState::pruneOldVotes(Instant now)
 {
-    if (now - m_swept < m_timing.absence)
+    if (now - m_lastPrunedAt < m_timing.absence)
         return;
-    m_swept = now;
+    m_lastPrunedAt = now;
     for (auto vouched = m_vouchedAt.begin(); vouched != m_vouchedAt.end();)
         vouched = now - vouched->second > m_timing.absence * 2 ? m_vouchedAt.erase(vouched) : std::next(vouched);
 }
--- a/packages/assignments/test/FleetModel.h
+++ b/packages/assignments/test/FleetModel.h
@@ -2,7 +2,7 @@
 // crossed answers; a lagging list; processes with drifting clocks that die, pause, restart, and are cut off.
 //
 // Time is virtual and every choice comes from a seeded generator, so that a history is repeated exactly by its commands
-// and its seed. After every step the fleet is asked who may use each row; two at once is a violation.
+// and its seed. After every step the fleet is asked voters may use each row; two at once is a violation.
 
 #pragma once
 
--- a/packages/assignments/test/HistoryTest.cpp
+++ b/packages/assignments/test/HistoryTest.cpp
@@ -185,7 +185,7 @@
     using FailureDetector::FailureDetector;
 
 protected:
-    bool absenceStood(const Watched& watched, Instant) const override { return watched.absentSince.has_value(); }
+    bool isAbsentLongEnough(const WatchedInstance& watched, Instant) const override { return watched.absentSince.has_value(); }
 };
 
 class NeedsNoPromise final : public FailureDetector {
@@ -193,7 +193,7 @@
     using FailureDetector::FailureDetector;
 
 protected:
-    bool promisedByMajority(const Watched&, Instant) const override { return true; }
+    bool promisedByMajority(const WatchedInstance&, Instant) const override { return true; }
 };
 
 class TrustsOneAnswer final : public FailureDetector {
@@ -201,9 +201,9 @@
     using FailureDetector::FailureDetector;
 
 protected:
-    bool isDropped(const Watched& watched) const override { return watched.absentSince.has_value(); }
-    bool absenceStood(const Watched& watched, Instant) const override { return watched.absentSince.has_value(); }
-    bool promisedByMajority(const Watched& watched, Instant) const override { return !watched.replies.empty(); }
+    bool isDropped(const WatchedInstance& watched) const override { return watched.absentSince.has_value(); }
+    bool isAbsentLongEnough(const WatchedInstance& watched, Instant) const override { return watched.absentSince.has_value(); }
+    bool promisedByMajority(const WatchedInstance& watched, Instant) const override { return !watched.replies.empty(); }
 };
 
 template <typename FaultyHolder>
--- a/packages/assignments/test/StoryTest.cpp
+++ b/packages/assignments/test/StoryTest.cpp
@@ -102,7 +102,7 @@
 }
 
 // A pause of half a minute in the middle of an outage, on an instance that the list still shows. The list alone does not
-// bring the rows back, because they could have moved; the voters, who would have promised a taker, do.
+// bring the rows back, because they could have moved; the voters, voters would have promised a taker, do.
 TEST(Stories, APauseInAnOutageDoesNotStopAHolderForLong)
 {
     auto fleet = settledFleet(calmOptions());
