--- a/packages/assignments/include/toucanstep/assignments/Row.h
+++ b/packages/assignments/include/toucanstep/assignments/Row.h
@@ -64,7 +64,7 @@
 // All rows, and all rows of one kind, lie under these prefixes.
 inline constexpr std::string_view allRowsPrefix = "/toucanstep/assignments/";
 std::string kindPrefix(RowKind);
-// The subject is percent-encoded, so that a slash in it cannot reach into another key.
+// The subject is percent-encoded, so that a slash in it cannot findReachable into another key.
 std::string storageKey(const RowKey&);
 // Fails with Malformed for a key that storageKey() cannot have made.
 base::Result<RowKey> parseStorageKey(std::string_view);
--- a/packages/assignments/test/FleetModel.cpp
+++ b/packages/assignments/test/FleetModel.cpp
@@ -13,14 +13,14 @@
 using std::chrono::seconds;
 
 namespace {
-constexpr Duration tickLength = milliseconds(250);
-constexpr Duration beatLength = seconds(1);
+constexpr Duration tickInterval = milliseconds(250);
+constexpr Duration heartbeatInterval = seconds(1);
 constexpr Duration callTimeout = seconds(1);
 constexpr int lossPercent = 10;
 constexpr int latePercent = 10;
 constexpr int duplicatePercent = 3;
 constexpr int lagChangePercent = 10;
-constexpr Duration droppedLife = seconds(90);
+constexpr Duration droppedProcessLifetime = seconds(90);
 constexpr int64_t million = 1'000'000;
 
 RowKey rowKey(size_t row) { return { RowKind::LimitShare, "account", static_cast<uint32_t>(row) }; }
@@ -29,7 +29,7 @@
 }
 
 struct Fleet::Process {
-    Process(size_t slotIndex, const Holder& self, const FleetOptions& options, const PartsFactory& parts, int64_t clockDrift, Duration startedAt)
+    Process(size_t slotIndex, const Holder& self, const FleetOptions& options, const ComponentFactory& parts, int64_t clockDrift, Duration startedAt)
         : slot(slotIndex)
         , drift(clockDrift)
         , holder(parts.makeHolder(self, options.timing))
@@ -65,10 +65,10 @@
     bool cutFromPeers = false;
     bool cutFromService = false;
     bool cutFromList = false;
-    Duration nextBeat {};
+    Duration nextHeartbeat {};
     Duration lag {};
     // The end of a process that runs on after the list has dropped its instance.
-    Duration diesAt = Duration::max();
+    Duration stopsAt = Duration::max();
     std::map<RowKey, MoveId> moving;
     std::vector<std::function<void(Process&)>> inbox;
 };
@@ -91,13 +91,13 @@
 
 Fleet::Process& Fleet::start(size_t slot, const InstanceId& instance)
 {
-    const PartsFactory& parts = m_options.parts ? *m_options.parts : m_defaultParts;
+    const ComponentFactory& parts = m_options.parts ? *m_options.parts : m_defaultComponents;
     int64_t bound = m_options.timing.driftPartsPerMillion;
-    int64_t drift = static_cast<int64_t>(pick(static_cast<size_t>(2 * bound + 1))) - bound;
+    int64_t drift = static_cast<int64_t>(randomIndex(static_cast<size_t>(2 * bound + 1))) - bound;
     Holder self { instance, StartNonce("s" + std::to_string(++m_starts)) };
     m_slots[slot] = std::make_shared<Process>(slot, self, m_options, parts, drift, m_now);
-    m_slots[slot]->nextBeat = m_now;
-    noteAlive();
+    m_slots[slot]->nextHeartbeat = m_now;
+    refreshAlive();
     m_instanceOf[slot] = instance;
     return *m_slots[slot];
 }
@@ -120,12 +120,12 @@
         break;
     case FleetAction::Crash:
         m_slots[slot].reset();
-        noteAlive();
+        refreshAlive();
         break;
     case FleetAction::Restart:
         start(slot, m_instanceOf[slot]);
         break;
-    case FleetAction::Vanish:
+    case FleetAction::ReplaceAndCrash:
         m_slots[slot].reset();
         replace(slot);
         break;
@@ -176,7 +176,7 @@
             releaseOrHandOver(*process, command.action == FleetAction::Release);
         break;
     }
-    observe();
+    checkExclusiveUse();
     run(command.then);
 }
 
@@ -191,7 +191,7 @@
     });
     if (m_slots[slot]) {
         m_dropped.push_back(m_slots[slot]);
-        m_dropped.back()->diesAt = m_now + droppedLife;
+        m_dropped.back()->stopsAt = m_now + droppedProcessLifetime;
     }
     start(slot, next);
 }
@@ -201,7 +201,7 @@
     for (const auto& row : process.table.rowsOf(process.instance())) {
         if (!process.holder->mayUse(row, process.local(m_now)))
             continue;
-        auto& other = m_slots[pick(m_slots.size())];
+        auto& other = m_slots[randomIndex(m_slots.size())];
         if (release || !other)
             send(process, process.mover.release(row, *process.holder), false);
         else
@@ -210,7 +210,7 @@
     }
 }
 
-void Fleet::noteAlive()
+void Fleet::refreshAlive()
 {
     m_alive = m_dropped;
     std::copy_if(m_slots.begin(), m_slots.end(), std::back_inserter(m_alive), [](const auto& process) { return process != nullptr; });
@@ -232,7 +232,7 @@
 {
     // Now and then a message arrives twice.
     if (m_options.lossyNetwork && chance(duplicatePercent))
-        at(when + hop(), [this, target, act, when] { deliver(target, when, act); });
+        at(when + networkDelay(), [this, target, act, when] { deliver(target, when, act); });
     at(when, [target, act = std::move(act)] {
         auto process = target.lock();
         if (!process)
@@ -246,19 +246,19 @@
 
 void Fleet::tick()
 {
-    m_now += tickLength;
+    m_now += tickInterval;
     while (!m_events.empty() && m_events.top().at <= m_now) {
         auto act = m_events.top().act;
         m_events.pop();
         act();
     }
-    bool ended = std::any_of(m_dropped.begin(), m_dropped.end(), [&](const auto& process) { return m_now >= process->diesAt; });
+    bool ended = std::any_of(m_dropped.begin(), m_dropped.end(), [&](const auto& process) { return m_now >= process->stopsAt; });
     if (ended) {
-        std::erase_if(m_dropped, [&](const auto& process) { return m_now >= process->diesAt; });
-        noteAlive();
+        std::erase_if(m_dropped, [&](const auto& process) { return m_now >= process->stopsAt; });
+        refreshAlive();
     }
     // After a pause a process may use its rows before it handles anything that has arrived.
-    observe();
+    checkExclusiveUse();
     auto running = m_alive;
     for (const auto& process : running) {
         if (process->paused)
@@ -267,25 +267,25 @@
         process->inbox.clear();
         for (auto& act : inbox)
             act(*process);
-        if (m_now >= process->nextBeat)
-            beat(*process);
+        if (m_now >= process->nextHeartbeat)
+            onHeartbeat(*process);
     }
-    observe();
-    m_observed += tickLength * static_cast<int64_t>(m_options.rows);
+    checkExclusiveUse();
+    m_observed += tickInterval * static_cast<int64_t>(m_options.rows);
     for (size_t row = 0; row < m_options.rows; ++row) {
         if (!userOf(row))
-            m_unusable += tickLength;
+            m_unusable += tickInterval;
     }
 }
 
-void Fleet::beat(Process& process)
+void Fleet::onHeartbeat(Process& process)
 {
-    process.nextBeat = m_now + beatLength;
+    process.nextHeartbeat = m_now + heartbeatInterval;
     if (m_options.rule == OwnershipProtocol::LeaseExpiry)
         renewLease(process);
     readService(process);
     readList(process);
-    askVoters(process);
+    queryVoters(process);
     moveRows(process);
     if (m_options.rule == OwnershipProtocol::ListAndVoters)
         maintainVoterSet(process);
@@ -367,11 +367,11 @@
         return;
     // Mostly the same copy of the list answers, as far behind as before; now and then another one, which may go back.
     if (chance(lagChangePercent))
-        process.lag = m_options.timing.listLag * static_cast<int64_t>(pick(100)) / 100;
+        process.lag = m_options.timing.listLag * static_cast<int64_t>(randomIndex(100)) / 100;
     Duration shownAt = m_now - process.lag;
     auto later = std::find_if(m_list.begin(), m_list.end(), [&](const ListState& state) { return state.since > shownAt; });
     ListState state = later == m_list.begin() ? m_list.front() : *std::prev(later);
-    deliver(sharedOf(process), m_now + hop(), [this, exchange, state](Process& self) {
+    deliver(sharedOf(process), m_now + networkDelay(), [this, exchange, state](Process& self) {
         Instant now = self.local(m_now);
         auto version = m_options.versionedList ? std::optional<uint64_t>(state.version) : std::nullopt;
         bool shows = state.instances.count(self.instance()) > 0;
@@ -385,7 +385,7 @@
     });
 }
 
-Fleet::Process* Fleet::reach(const Process& from, const InstanceId& target)
+Fleet::Process* Fleet::findReachable(const Process& from, const InstanceId& target)
 {
     if (from.cutFromPeers && from.instance() != target)
         return nullptr;
@@ -405,7 +405,7 @@
     return nullptr;
 }
 
-void Fleet::askVoters(Process& process)
+void Fleet::queryVoters(Process& process)
 {
     Instant sentAt = process.local(m_now);
     Exchange exchange { sentAt, sentAt + callTimeout };
@@ -414,16 +414,16 @@
         voters.insert(process.voterSets.previous->members.begin(), process.voterSets.previous->members.end());
     auto absent = process.detector->instancesToQuery(sentAt);
     for (const auto& voter : voters) {
-        Process* target = reach(process, voter);
+        Process* target = findReachable(process, voter);
         if (!target || (m_options.lossyNetwork && chance(lossPercent)))
             continue;
         std::weak_ptr<Process> asker = sharedOf(process);
         InstanceId instance = process.instance();
-        deliver(sharedOf(*target), m_now + hop(), [this, asker, exchange, instance](Process& self) {
+        deliver(sharedOf(*target), m_now + networkDelay(), [this, asker, exchange, instance](Process& self) {
             bool vouches = self.voter.vouchFor(instance, self.local(m_now));
             VoterSet voterSet = self.voter.voterSet();
             InstanceId from = self.instance();
-            deliver(asker, m_now + hop(), [this, exchange, vouches, voterSet, from](Process& holder) {
+            deliver(asker, m_now + networkDelay(), [this, exchange, vouches, voterSet, from](Process& holder) {
                 holder.holder->onVoterSet(voterSet);
                 holder.holder->onVoterAnswer(exchange, holder.local(m_now), from, voterSet.generation, vouches);
                 holder.generations[from] = std::max(holder.generations[from], voterSet.generation);
@@ -431,9 +431,9 @@
         });
         for (const auto& gone : absent) {
             base::Revision mark = process.detector->markRevisionOf(gone);
-            deliver(sharedOf(*target), m_now + hop(), [this, asker, exchange, gone, mark](Process& self) {
+            deliver(sharedOf(*target), m_now + networkDelay(), [this, asker, exchange, gone, mark](Process& self) {
                 VoterReply reply = self.voter.onAbsenceQuery(gone, mark, self.local(m_now));
-                deliver(asker, m_now + hop(), [this, exchange, gone, reply](Process& taker) {
+                deliver(asker, m_now + networkDelay(), [this, exchange, gone, reply](Process& taker) {
                     taker.detector->onVoterReply(exchange, taker.local(m_now), gone, reply);
                 });
             });
@@ -458,7 +458,7 @@
             continue;
         }
         bool own = row->holder.instance == process.instance();
-        const PartsFactory& parts = m_options.parts ? *m_options.parts : m_defaultParts;
+        const ComponentFactory& parts = m_options.parts ? *m_options.parts : m_defaultComponents;
         if (own && row->holder.start != process.holder->self().start && parts.adoptsRows())
             send(process, process.mover.adopt(*row, process.read), false);
         if (own || !chance(50))
@@ -570,14 +570,14 @@
         return;
     // A request may lie on its way for long and take effect after its sender has given it up, or died.
     bool late = m_options.lossyNetwork && chance(latePercent);
-    Duration arrival = m_now + (late ? seconds(1 + static_cast<int64_t>(pick(30))) : hop());
+    Duration arrival = m_now + (late ? seconds(1 + static_cast<int64_t>(randomIndex(30))) : networkDelay());
     at(arrival, [this, sender, settled, transaction, then] {
         if (m_outage)
             return;
         auto reply = apply(transaction);
         if (m_options.lossyNetwork && chance(lossPercent))
             return;
-        deliver(sender, m_now + hop(), [settled, then, reply](Process& self) {
+        deliver(sender, m_now + networkDelay(), [settled, then, reply](Process& self) {
             if (!std::exchange(*settled, true))
                 then(self, reply);
         });
@@ -592,13 +592,13 @@
     ++m_reads;
     if (process.cutFromService || (m_options.lossyNetwork && chance(lossPercent)))
         return;
-    at(m_now + hop(), [this, sender, exchange, then] {
+    at(m_now + networkDelay(), [this, sender, exchange, then] {
         if (m_outage)
             return;
         base::RangeReply reply { {}, base::Revision(m_revision) };
         for (const auto& [key, entry] : m_store)
             reply.entries.push_back(entry);
-        deliver(sender, m_now + hop(), [exchange, then, reply](Process& self) { then(self, exchange, reply); });
+        deliver(sender, m_now + networkDelay(), [exchange, then, reply](Process& self) { then(self, exchange, reply); });
     });
 }
 
@@ -649,7 +649,7 @@
     return users;
 }
 
-void Fleet::observe()
+void Fleet::checkExclusiveUse()
 {
     for (size_t row = 0; row < m_options.rows; ++row) {
         auto users = usersOf(row);
@@ -667,18 +667,18 @@
     m_observed = {};
 }
 
-Duration Fleet::hop()
+Duration Fleet::networkDelay()
 {
     bool slow = m_options.lossyNetwork && chance(latePercent);
-    return milliseconds(1 + pick(slow ? 2500 : 100));
+    return milliseconds(1 + randomIndex(slow ? 2500 : 100));
 }
 
 bool Fleet::chance(int percent)
 {
-    return static_cast<int>(pick(100)) < percent;
+    return static_cast<int>(randomIndex(100)) < percent;
 }
 
-size_t Fleet::pick(size_t count)
+size_t Fleet::randomIndex(size_t count)
 {
     return static_cast<size_t>(m_random() % count);
 }
--- a/packages/assignments/test/FleetModel.h
+++ b/packages/assignments/test/FleetModel.h
@@ -30,9 +30,9 @@
 };
 
 // Where tests put their seeded faults in.
-class PartsFactory {
+class ComponentFactory {
 public:
-    virtual ~PartsFactory() = default;
+    virtual ~ComponentFactory() = default;
     virtual std::unique_ptr<HolderState> makeHolder(const Holder& self, const Timing& timing) const { return std::make_unique<HolderState>(self, timing); }
     virtual std::unique_ptr<FailureDetector> makeDetector(const Timing& timing) const { return std::make_unique<FailureDetector>(timing); }
     // Whether a restarted process rewrites the rows of its predecessor before it uses them.
@@ -49,7 +49,7 @@
     OwnershipProtocol rule = OwnershipProtocol::ListAndVoters;
     base::Duration leaseTimeToLive = std::chrono::seconds(10);
     uint64_t seed = 1;
-    const PartsFactory* parts = nullptr;
+    const ComponentFactory* parts = nullptr;
 };
 
 enum class FleetAction {
@@ -63,7 +63,7 @@
     // The same, and the former process is cut from its peers, and by chance from the service and the list.
     ReplaceAndCut,
     // The same, and the former process has died.
-    Vanish,
+    ReplaceAndCrash,
     Pause,
     Resume,
     // These cut every process that runs in the slot, or has run there.
@@ -123,21 +123,21 @@
 
     Process& start(size_t slot, const base::InstanceId&);
     std::shared_ptr<Process> sharedOf(const Process&) const;
-    Process* reach(const Process& from, const base::InstanceId&);
+    Process* findReachable(const Process& from, const base::InstanceId&);
     void replace(size_t slot);
     void releaseOrHandOver(Process&, bool release);
-    void noteAlive();
+    void refreshAlive();
     void changeList(const std::function<void(std::set<base::InstanceId>&)>&);
     void at(base::Duration, std::function<void()>);
     // Runs on the process when it is next able to; never if it is dead.
     void deliver(const std::weak_ptr<Process>&, base::Duration at, std::function<void(Process&)>);
     void tick();
-    void beat(Process&);
+    void onHeartbeat(Process&);
     void readService(Process&);
     void onServiceRead(Process&, Exchange, const base::RangeReply& marks, const base::RangeReply& rows);
     void learnVoterSets(Process&, const VoterSets&);
     void readList(Process&);
-    void askVoters(Process&);
+    void queryVoters(Process&);
     void moveRows(Process&);
     void maintainVoterSet(Process&);
     void renewLease(Process&);
@@ -146,15 +146,15 @@
     void read(Process&, std::function<void(Process&, Exchange, const base::RangeReply&)>);
     base::TransactionReply apply(const base::Transaction&);
     std::vector<std::shared_ptr<Process>> usersOf(size_t row) const;
-    void observe();
+    void checkExclusiveUse();
     bool mayUse(const Process&, const Row&) const;
-    base::Duration hop();
+    base::Duration networkDelay();
     bool chance(int percent);
-    size_t pick(size_t count);
+    size_t randomIndex(size_t count);
 
     FleetOptions m_options;
     std::mt19937_64 m_random;
-    PartsFactory m_defaultParts;
+    ComponentFactory m_defaultComponents;
     base::Duration m_now { std::chrono::hours(1) };
     uint64_t m_order = 0;
     std::priority_queue<Event> m_events;
--- a/packages/assignments/test/HistoryTest.cpp
+++ b/packages/assignments/test/HistoryTest.cpp
@@ -49,7 +49,7 @@
     auto action = rc::gen::weightedOneOf<FleetAction>({
         { 6, rc::gen::just(FleetAction::Run) },
         { 2, rc::gen::element(FleetAction::Crash, FleetAction::Restart, FleetAction::Pause, FleetAction::Resume, FleetAction::Heal) },
-        { 4, rc::gen::element(FleetAction::Replace, FleetAction::ReplaceAndCut, FleetAction::ReplaceAndCut, FleetAction::Vanish) },
+        { 4, rc::gen::element(FleetAction::Replace, FleetAction::ReplaceAndCut, FleetAction::ReplaceAndCut, FleetAction::ReplaceAndCrash) },
         { 2, rc::gen::element(FleetAction::CutFromPeers, FleetAction::CutFromService, FleetAction::CutFromList) },
         { 1, rc::gen::element(FleetAction::StartOutage, FleetAction::EndOutage, FleetAction::EndOutage) },
         { 2, rc::gen::element(FleetAction::Release, FleetAction::HandOver) },
@@ -64,13 +64,13 @@
     return rc::gen::exec([] {
         size_t slot = *rc::gen::inRange<size_t>(0, 5);
         auto fault = *rc::gen::element(FleetAction::StartOutage, FleetAction::CutFromService, FleetAction::Pause, FleetAction::Run);
-        auto mending = *rc::gen::element(FleetAction::Heal, FleetAction::Resume);
-        return Commands { { FleetAction::ReplaceAndCut, slot, *quarterSeconds(4, 24) }, { fault, slot, *quarterSeconds(0, 3) }, { mending, slot, *quarterSeconds(4, 14) }, { FleetAction::EndOutage, slot, *quarterSeconds(4, 14) } };
+        auto repair = *rc::gen::element(FleetAction::Heal, FleetAction::Resume);
+        return Commands { { FleetAction::ReplaceAndCut, slot, *quarterSeconds(4, 24) }, { fault, slot, *quarterSeconds(0, 3) }, { repair, slot, *quarterSeconds(4, 14) }, { FleetAction::EndOutage, slot, *quarterSeconds(4, 14) } };
     });
 }
 
 // A process that is dropped while only the service can be reached from it, and then not even that.
-rc::Gen<Commands> droppedWithServiceOnly()
+rc::Gen<Commands> droppedWithStoreAccessOnly()
 {
     return rc::gen::exec([] {
         size_t slot = *rc::gen::inRange<size_t>(0, 5);
@@ -109,10 +109,10 @@
 
 rc::Gen<Commands> anyPart()
 {
-    return rc::gen::weightedOneOf<Commands>({ { 8, anyCommand() }, { 1, droppedProcess() }, { 1, droppedWithServiceOnly() }, { 1, restartAfterRelease() }, { 1, releaseWhileCut() } });
+    return rc::gen::weightedOneOf<Commands>({ { 8, anyCommand() }, { 1, droppedProcess() }, { 1, droppedWithStoreAccessOnly() }, { 1, restartAfterRelease() }, { 1, releaseWhileCut() } });
 }
 
-FleetOptions optionsOf(const History& history, const PartsFactory* parts)
+FleetOptions optionsOf(const History& history, const ComponentFactory* parts)
 {
     FleetOptions options;
     options.timing = driftingTiming();
@@ -123,7 +123,7 @@
 }
 
 // Plays the history and returns its violation, or an empty string.
-std::string play(const History& history, const PartsFactory* parts, int* takeovers = nullptr)
+std::string runHistory(const History& history, const ComponentFactory* parts, int* takeovers = nullptr)
 {
     Fleet fleet(optionsOf(history, parts));
     fleet.run(seconds(10));
@@ -136,11 +136,11 @@
 }
 
 // Looks for a violation by a fault, in histories of the parts that are made to bring it out.
-std::string findViolation(const PartsFactory& parts, const rc::Gen<Commands>& part)
+std::string findViolation(const ComponentFactory& parts, const rc::Gen<Commands>& part)
 {
     return counterexample(PropertyOptions { .seed = 5, .maxSuccess = 400, .maxSize = 20 }, [&] {
         auto history = *rc::gen::noShrink(historiesOf(part));
-        RC_ASSERT(play(history, &parts).empty());
+        RC_ASSERT(runHistory(history, &parts).empty());
     });
 }
 
@@ -207,13 +207,13 @@
 };
 
 template <typename FaultyHolder>
-class WithHolder : public PartsFactory {
+class WithHolder : public ComponentFactory {
 public:
     std::unique_ptr<HolderState> makeHolder(const Holder& self, const Timing& timing) const override { return std::make_unique<FaultyHolder>(self, timing); }
 };
 
 template <typename FaultyDetector>
-class WithDetector final : public PartsFactory {
+class WithDetector final : public ComponentFactory {
 public:
     std::unique_ptr<FailureDetector> makeDetector(const Timing& timing) const override { return std::make_unique<FaultyDetector>(timing); }
 };
@@ -232,7 +232,7 @@
     int takeovers = 0;
     CHECK_PROPERTY_WITH((PropertyOptions { .seed = 20261202, .maxSuccess = 300, .maxSize = 60 }), [&] {
         auto history = *historiesOf(anyPart());
-        auto violation = play(history, nullptr, &takeovers);
+        auto violation = runHistory(history, nullptr, &takeovers);
         if (!violation.empty())
             RC_FAIL(violation);
     });
@@ -242,7 +242,7 @@
 
 TEST(Histories, AFaultWhereServiceReadsCountAsPresenceIsFound)
 {
-    CHECK_FALSE(findViolation(WithHolder<ServiceReadCounts>(), droppedWithServiceOnly()).empty());
+    CHECK_FALSE(findViolation(WithHolder<ServiceReadCounts>(), droppedWithStoreAccessOnly()).empty());
 }
 
 TEST(Histories, AFaultWhereAHolderNeverStopsIsFound)
--- a/packages/assignments/test/UnitTest.cpp
+++ b/packages/assignments/test/UnitTest.cpp
@@ -38,7 +38,7 @@
 
 TEST_GROUP(Rows) {};
 
-TEST(Rows, KeysAndValuesReadBackAsTheSameRow)
+TEST(Rows, EncodedRowsRoundTrip)
 {
     CHECK_PROPERTY([](const std::string& subject, uint32_t slot, const std::string& payload) {
         Row row { { RowKind::ReplicaSlot, subject, slot }, self, Epoch(7), WriteNonce("n"), payload, Revision(9) };
@@ -49,7 +49,7 @@
     });
 }
 
-TEST(Rows, TextThatIsNoRowIsRefused)
+TEST(Rows, MalformedRowsAreRejected)
 {
     CHECK_PROPERTY([](const std::string& key, const std::string& value) {
         Error error;
@@ -63,7 +63,7 @@
 }
 
 // A value of nested arrays, one byte each. The parser would call itself for each until the stack is used up.
-TEST(Rows, DeeplyNestedBytesAreRefused)
+TEST(Rows, DeeplyNestedValuesAreRejected)
 {
     Error error;
     CHECK_FALSE(valueOr(error, [&] { return decodeRow(KeyValue { storageKey(share), std::string(1'000'000, '\x91'), {}, {} }); }).has_value());
@@ -115,7 +115,7 @@
 
 // The answer to a claim is lost, and so is every hint of whether it was carried out. Claimed again blindly, the row would
 // have two writers' views; read back, the nonce tells.
-TEST(Moving, ALostAnswerIsSettledByTheNonce)
+TEST(Moving, ALostAnswerIsResolvedByTheNonce)
 {
     Mover mover(self);
     Move move = mover.claim(share, "", Revision(5));
@@ -128,7 +128,7 @@
 
 // The read that follows a lost answer overtakes the transaction, which lies on its way: the read shows nothing, a second
 // claim is sent, and then the first takes effect. Both compare the same revision, so one fails and the row is held once.
-TEST(Moving, AReadThatOvertakesTheTransactionSettlesNothing)
+TEST(Moving, AReadThatOvertakesTheTransactionLeavesItInDoubt)
 {
     Mover mover(self);
     Move first = mover.claim(share, "", Revision(5));
@@ -165,7 +165,7 @@
 
 // An answer of the list that was asked for long ago arrives after its deadline, for example because the process was
 // paused. It says where the instance stood then, and must not prolong the use of rows now.
-TEST(Holding, AnAnswerAfterItsDeadlineIsNotUsed)
+TEST(Holding, AnAnswerAfterItsDeadlineIsIgnored)
 {
     HolderState holder(self, Timing {});
     Row row { share, self, Epoch(4), WriteNonce("n"), "", Revision(4) };
@@ -230,7 +230,7 @@
 
 // A holder's rows have moved under the former voters' promises. It hears of the new set from a gateway, and asks a new
 // member that has not read the service since it became one, and so knows nothing of the mark. Its word must not count.
-TEST(Holding, AVoterThatDoesNotKnowTheSetYetDoesNotCount)
+TEST(Holding, AVoterWithAnOlderSetDoesNotCount)
 {
     HolderState holder(self, Timing {});
     Row row { share, self, Epoch(4), WriteNonce("n"), "", Revision(4) };
@@ -300,7 +300,7 @@
 
 // The list's copies differ: one answer without the instance comes from a copy that has not seen it start. Without versions
 // only absence for longer than the lag says that it was dropped; an answer that shows it starts the time again.
-TEST(Absence, AnAnswerThatGoesBackIsNoProofThatAnInstanceWasDropped)
+TEST(Absence, AStaleListAnswerDoesNotProveThatAnInstanceWasDropped)
 {
     FailureDetector detector(Timing {});
     InstanceId instance("a");
@@ -317,7 +317,7 @@
 }
 
 // With versions an answer older than the one that showed the instance is left aside, however late it comes.
-TEST(Absence, AnOlderVersionIsLeftAside)
+TEST(Absence, AnOlderVersionIsIgnored)
 {
     FailureDetector detector(Timing {});
     InstanceId instance("a");
