--- a/packages/assignments/fuzz/AssignmentValuesFuzz.cpp
+++ b/packages/assignments/fuzz/AssignmentValuesFuzz.cpp
@@ -1,5 +1,4 @@
-// Whatever bytes the key-value service gives, decoding ends with a value or an error, and a value that was decoded is
-// encoded to one that reads back as the same.
+// Decodes arbitrary bytes: decoding must return a value or an error, and re-encoding a decoded value must round-trip.
 
 #include "toucanstep/assignments/Row.h"
 #include "toucanstep/assignments/VoterSet.h"
--- a/packages/assignments/include/toucanstep/assignments/AssignmentTable.h
+++ b/packages/assignments/include/toucanstep/assignments/AssignmentTable.h
@@ -1,11 +1,11 @@
-// What this node knows of the rows, ordered by revision.
+// A node's local view of the rows, ordered by revision.
 //
 //     table.applyRange(allRowsPrefix, reply);
 //     table.applyEvents(events);
 //     if (const Row* row = table.find(key)) ...
 //
-// Answers and watch events may come late or crossed. An older one never replaces what a newer one told, and neither
-// does it bring back a row whose deletion is already known.
+// Replies and watch events may arrive late or out of order. Older data never overwrites newer data and never restores
+// a row whose deletion is already known.
 
 #pragma once
 
@@ -20,12 +20,12 @@
 
 class AssignmentTable {
 public:
-    // A read of all keys with `prefix`: rows that it lacks, and that are not newer than it, are gone.
-    // Returns the keys whose values could not be decoded; they stay unknown.
+    // Applies a read of all keys with `prefix`. Rows that are missing from the reply and are not newer than it are
+    // deleted. Returns the keys whose values could not be decoded; they are treated as absent.
     std::vector<std::string> applyRange(std::string_view prefix, const base::RangeReply&);
-    // Events that bring the table up to `revision` for the keys they name.
+    // Applies watch events that are complete up to `revision` for the keys they name.
     std::vector<std::string> applyEvents(const std::vector<base::WatchEvent>&, base::Revision);
-    // A write of our own that is known to have taken effect.
+    // Applies this node's own write once it is known to be committed.
     void applyWrite(const Row&);
     void applyDeletion(const RowKey&, base::Revision);
 
@@ -34,12 +34,12 @@
     std::vector<Row> rowsOfKind(RowKind) const;
     std::vector<Row> rowsOfSubject(RowKind, std::string_view subject) const;
     std::vector<Row> all() const;
-    // Grows with every change, so that a snapshot can be told from its predecessor.
+    // Incremented by every change; identifies the version of a snapshot.
     uint64_t changes() const { return m_changes; }
 
 private:
     struct Entry {
-        // Empty where the key is known not to exist.
+        // Empty if the key is known not to exist.
         std::optional<Row> row;
         base::Revision known;
     };
@@ -53,8 +53,8 @@
     std::vector<Row> select(Predicate&&) const;
 
     std::map<RowKey, Entry> m_entries;
-    // For each prefix the revision up to which a key under it that the table does not list is known not to exist. Without
-    // it a late event would bring back a row whose deletion a read has already shown by leaving it out.
+    // For each prefix, the revision up to which an unlisted key under it is known not to exist. Without it, a late
+    // event would restore a row whose deletion a read has already shown by omitting it.
     std::map<std::string, base::Revision, std::less<>> m_readRevisions;
     uint64_t m_changes = 0;
 };
--- a/packages/assignments/include/toucanstep/assignments/FailureDetector.h
+++ b/packages/assignments/include/toucanstep/assignments/FailureDetector.h
@@ -1,8 +1,9 @@
-// Whether the rows of an instance may be taken over.
+// Decides whether the rows of an instance may be taken over.
 //
-// For each instance that holds rows, in this order: the list has dropped it; a majority of the voters has not received it
-// for Timing::absence; a gone mark is written; a majority promises under that mark; then its rows may be taken, by
-// transactions that compare the mark and the voterSets. Any newer answer of the list that shows the instance starts again.
+// For each instance that holds rows, these steps follow in order: the platform's list has dropped it; a majority of
+// the voters has not vouched for it for Timing::absence; a gone mark is written; a majority promises under that mark.
+// Then its rows may be taken over by transactions that compare the mark and the voter sets. A newer list answer that
+// shows the instance resets the sequence.
 
 #pragma once
 
@@ -21,25 +22,25 @@
 
 enum class FailurePhase {
     Present,
-    // Absent from the list, but not proved to be dropped for long enough.
+    // Missing from the list, but not yet proved to be dropped for long enough.
     Absent,
-    // Dropped and silent for long enough: the mark can be written.
+    // Dropped and silent for long enough; the gone mark can be written.
     MarkNeeded,
-    // The mark stands; promises are being gathered.
+    // The gone mark is written; promises are being collected.
     Marked,
-    // Its rows may be taken.
+    // A majority has promised; the rows may be taken over.
     TakeoverAllowed,
 };
 
-// Proof that a holder has stopped, good while its mark stands.
+// Proof that a holder has stopped; valid while its gone mark exists.
 struct TakeoverProof {
     base::InstanceId instance;
     base::Revision mark;
-    // The revision of the voterSets whose majorities have promised.
+    // The revision of the voter sets whose majorities have promised.
     base::Revision voterSets;
 };
 
-// Whether a row may be taken over. The baseline of leases that expire implements it as well.
+// Decides whether a row may be taken over. Also implemented by the lease baseline.
 class TakeoverPolicy {
 public:
     virtual ~TakeoverPolicy() = default;
@@ -50,29 +51,30 @@
 public:
     explicit FailureDetector(Timing);
 
-    // Instances whose rows this node would take if they were gone; the others are not tracked.
+    // Tracks an instance whose rows this node would take over if it failed. Other instances are not tracked.
     void watch(const base::InstanceId&, base::Instant now);
     void forget(const base::InstanceId&);
 
-    // One whole answer of the platform's list. An answer older than one already seen is left aside.
+    // Applies one complete answer of the platform's list. Answers older than one already seen are ignored.
     void onListAnswer(Exchange, base::Instant now, std::optional<uint64_t> version, const std::set<base::InstanceId>& shown);
     void onVoterSets(const VoterSets&, base::Instant now);
-    // All marks as read from the service at that revision.
+    // Replaces the known marks with all marks read from the service at that revision.
     void onMarks(base::Revision, const std::vector<GoneMark>&);
-    // A voter's reply to this node's question about `instance`.
+    // Records a voter's reply to this node's query about `instance`.
     void onVoterReply(Exchange, base::Instant now, const base::InstanceId& instance, const VoterReply&);
 
     FailurePhase phase(const base::InstanceId&, base::Instant now) const;
-    // The mark's revision that voters are to be asked under, or zero before there is one.
+    // The revision of the mark to query voters with; zero if there is no mark.
     base::Revision markRevisionOf(const base::InstanceId&) const;
-    // Instances about which voters have to be asked now.
+    // The instances that voters must be queried about now.
     std::vector<base::InstanceId> instancesToQuery(base::Instant now) const;
     std::optional<TakeoverProof> takeoverProof(const base::InstanceId&, base::Instant now) const;
 
     bool mayTakeOver(const Row&, base::Instant now) const override;
-    // Whether the list has certainly dropped a watched instance, however long ago; when to choose another voter.
+    // Whether the list has definitely dropped a watched instance, however recently. Used to choose a replacement
+    // voter.
     bool listHasDropped(const base::InstanceId&) const;
-    // Whether a watched voter has been dropped for so long that it vouches for nobody any more.
+    // Whether a watched voter was dropped so long ago that it no longer vouches for any instance.
     bool hasStoppedVouching(const base::InstanceId&, base::Instant now) const;
 
 protected:
@@ -84,18 +86,18 @@
     struct WatchedInstance {
         base::Instant watchedAt;
         bool shown = false;
-        // The list's newest version that showed it.
+        // The newest list version that showed it.
         std::optional<uint64_t> shownVersion;
-        // When this node first received an answer without it, of all answers since; and whether it counts as dropped.
+        // When this node received the first of the consecutive answers without it.
         std::optional<base::Instant> absentSince;
-        // When the newest of those answers was asked for.
+        // When the newest of those answers was requested.
         base::Instant absentAskedAt;
         bool dropped = false;
         base::Revision mark;
         std::map<base::InstanceId, ReceivedReply> replies;
     };
 
-    // Seeded faults of the tests override these.
+    // Overridden by the faulty variants in the tests.
     virtual bool isDropped(const WatchedInstance&) const;
     virtual bool isAbsentLongEnough(const WatchedInstance&, base::Instant now) const;
     virtual bool isSilentToMajority(const WatchedInstance&, base::Instant now) const;
@@ -109,8 +111,8 @@
 
     Timing m_timing;
     VoterSets m_voterSets;
-    // When this node first knew of this state of the voterSets. A holder that counted votes of a set which has been
-    // retired since has stopped once Timing::absence has passed from here.
+    // When this node first saw the current voter sets. A holder that counted votes of a set retired since then has
+    // stopped once Timing::absence has passed.
     std::optional<base::Instant> m_voterSetsSince;
     std::optional<uint64_t> m_newestVersion;
     std::optional<base::Instant> m_newestSentAt;
--- a/packages/assignments/include/toucanstep/assignments/HolderState.h
+++ b/packages/assignments/include/toucanstep/assignments/HolderState.h
@@ -1,15 +1,16 @@
-// May this process use the rows that it holds, right now?
+// Decides whether this process may use the rows it holds at a given instant.
 //
-//     holder.onServiceRead(sentAt, deadline, now, rows, marks);
+//     holder.onServiceRead(exchange, now, revision, marked, voterSets);
 //     if (holder.mayUse(row, clock.now())) ...
 //
-// Nothing lapses while the key-value service is down. A row is usable while the platform's list shows this instance, or
-// a majority of the gateways vouches for it, by a request sent less than Timing::holderLimit ago. A read of the service
-// counts for neither: it shows the row up to the instant at which a taker replaces it.
+// Rows do not expire during an outage of the key-value service. A row is usable while the platform's list shows this
+// instance, or a majority of the gateways vouches for it, in response to a request sent less than Timing::holderLimit
+// ago. A read of the service does not count as proof: it shows the row right up to the moment at which another process
+// takes it over.
 //
-// Where both have been missing for longer than that, the list alone does not bring use back, for the rows may have moved
-// in between: it takes a majority that vouches (voters refuse once they have promised a taker) or a new read of the rows.
-// Ask with a fresh `now` directly before each use: after a pause the answer differs.
+// If both proofs have been missing for longer, the list alone does not restore use, because the rows may have moved in
+// the meantime. That takes a vouching majority (voters refuse once they have promised a taker) or a new read of the
+// rows. Call mayUse() with the current time directly before each use, since the result changes after a pause.
 
 #pragma once
 
@@ -23,14 +24,14 @@
 
 namespace toucanstep::assignments {
 
-// Whether rows may be used. The baseline of leases that expire implements it as well.
+// Decides whether rows may be used. Also implemented by the lease baseline.
 class UsePolicy {
 public:
     virtual ~UsePolicy() = default;
     virtual bool mayUse(const Row&, base::Instant now) const = 0;
 };
 
-// When a request was sent and until when its answer is used.
+// When a request was sent, and the deadline after which its answer is ignored.
 struct Exchange {
     base::Instant sentAt;
     base::Instant deadline;
@@ -42,48 +43,51 @@
 
     const Holder& self() const { return m_self; }
 
-    // A read of the rows, the gone marks and the voterSets that was answered at `now`. Its rows go into the
-    // AssignmentTable first. The first such read allows use at all.
-    // `marked`: whether a gone mark for this instance stood at that revision.
+    // Applies a read of the rows, gone marks and voter sets that was answered at `now`. Apply the rows to the
+    // AssignmentTable first. No row may be used before the first such read. `marked` says whether a gone mark for this
+    // instance existed at that revision.
     void onServiceRead(Exchange, base::Instant now, base::Revision, bool marked, const std::optional<VoterSets>&);
-    // An answer of the platform's list. `version` is its resource version where it has one. An answer older than one
-    // that was already seen is left aside.
+    // Applies an answer of the platform's list. `version` is its resource version, if it has one. Answers older than
+    // one already seen are ignored.
     void onListAnswer(Exchange, base::Instant now, std::optional<uint64_t> version, bool showsSelf);
-    // A gateway's answer to this process: it received us, and vouches for us under that generation or refuses to.
+    // Applies a gateway's answer to this process: under that generation it either vouches for this instance or
+    // refuses.
     void onVoterAnswer(Exchange, base::Instant now, const base::InstanceId& voter, Generation, bool vouches);
-    // A newer set of voters, learned from a gateway.
+    // Applies a newer voter set learned from a gateway.
     void onVoterSet(const VoterSet&);
 
-    // Gives the row up for good, before its release or handover is sent: a release whose answer was lost may take
-    // effect at any later time. Only a later revision of the row makes it usable again.
+    // Gives the row up permanently. Call it before sending a release or handover, because a release whose answer was
+    // lost may take effect at any later time. Only a later revision of the row makes it usable again.
     virtual void relinquish(const Row&);
 
     bool mayUse(const Row&, base::Instant now) const override;
-    // Whether this process has relinquished the row as it stands; a later revision that names it is a new row.
+    // Whether this process has relinquished this revision of the row; a later revision that names the process is a new
+    // row.
     bool hasRelinquished(const Row&) const;
-    // The instant at which use ends if nothing more is received; the past where it may not be used now.
+    // The instant at which use ends unless a newer proof arrives; Instant::min() while use is not allowed.
     base::Instant usableUntil() const;
-    // Whether the platform's word that this instance is gone stands against it.
+    // Whether a gone mark for this instance exists.
     bool markedGone() const { return m_marked; }
     bool hasReadService() const { return m_hasRead; }
-    // Whether use is stopped until a majority vouches or the rows are read again.
+    // Whether the rows have been read and no mark exists, but use is not allowed because the proof of liveness is
+    // missing or too old, or a lapse has not been cleared.
     bool hasLapsed(base::Instant now) const;
-    // Whether the mark against this instance is an error that it may delete: the list has just shown it. Nobody else may
-    // lift a mark, because only the marked process knows that it reads its rows again before it uses any.
+    // Whether the mark for this instance is wrong and may be deleted because the list has just shown the instance.
+    // Only the marked process may delete it, since only that process knows that it rereads its rows before using them.
     bool mayLiftMark(base::Instant now) const;
 
 protected:
-    // The newest sending time that proves presence; seeded faults of the tests override it.
+    // The newest send time that proves liveness. Overridden by the faulty variants in the tests.
     virtual std::optional<base::Instant> newestEvidence() const;
     std::optional<base::Instant> listEvidence() const { return m_listSentAt; }
     std::optional<base::Instant> voterEvidence() const;
     std::optional<base::Instant> serviceEvidence() const { return m_readSentAt; }
-    // Whether use, once it has lapsed, stays stopped until the rows are known to be still there.
+    // Whether use that has lapsed stays suspended until the rows are known to be unchanged.
     virtual bool lapses() const { return true; }
     const Timing& timing() const { return m_timing; }
 
 private:
-    // Until when a new proof continues the former ones.
+    // A request sent after this instant no longer continues the earlier proofs without a gap.
     base::Instant continuousUntil() const;
     void detectLapse(base::Instant continuous);
     void endLapse(base::Instant provedAt);
@@ -97,7 +101,7 @@
     std::optional<base::Instant> m_listSentAt;
     std::optional<uint64_t> m_listVersion;
     std::optional<base::Instant> m_newestListAnswer;
-    // When use ended because nothing was received; only proofs that were asked for later bring it back.
+    // When use ended for lack of proof. Only proofs requested later restore it.
     std::optional<base::Instant> m_lapsedAt;
     VoterSet m_voterSet;
     std::map<base::InstanceId, base::Instant> m_vouchedAt;
--- a/packages/assignments/include/toucanstep/assignments/LeaseExpiry.h
+++ b/packages/assignments/include/toucanstep/assignments/LeaseExpiry.h
@@ -1,7 +1,8 @@
-// The obvious alternative, kept runnable for comparison: rows that expire unless their holder renews them.
+// Baseline for comparison: rows protected by leases that expire unless their holder renews them.
 //
-// The holder uses its rows for the time to live after the sending of its last renewal; anybody takes a row whose lease
-// has not been renewed for the time to live and a margin. An outage of the service longer than that stops every holder.
+// A holder uses its rows for the time to live after it sent its last renewal. Any process may take over a row whose
+// lease has not been renewed for the time to live plus a margin. A service outage longer than the time to live stops
+// every holder.
 
 #pragma once
 
@@ -13,7 +14,7 @@
 class LeaseUsePolicy final : public UsePolicy {
 public:
     LeaseUsePolicy(Holder self, base::Duration timeToLive);
-    // The service answered a renewal that was sent at `sentAt`.
+    // Records that the service answered a renewal sent at `sentAt`.
     void onRenewed(base::Instant sentAt);
     bool mayUse(const Row&, base::Instant now) const override;
 
@@ -26,7 +27,7 @@
 class LeaseTakeoverPolicy final : public TakeoverPolicy {
 public:
     LeaseTakeoverPolicy(base::Duration timeToLive, base::Duration margin);
-    // A read of the service showed this renewal count of the instance's lease.
+    // Records the renewal count of an instance's lease, as read from the service.
     void onLeaseSeen(const base::InstanceId&, uint64_t renewals, base::Instant now);
     bool mayTakeOver(const Row&, base::Instant now) const override;
 
--- a/packages/assignments/include/toucanstep/assignments/Mover.h
+++ b/packages/assignments/include/toucanstep/assignments/Mover.h
@@ -1,13 +1,13 @@
-// Makes the transactions that write rows, and settles those whose answers were lost.
+// Builds the transactions that write rows, and resolves those whose answers were lost.
 //
 //     Move move = mover.claim(key, payload, readRevision);
 //     store.commit(move.transaction, ...);                 // exactly once
 //     if (mover.onOutcome(move.id, outcome) == MoveState::NeedsRead)
-//         store.get(storageKey(key), ...);                 // until onRead() settles it
+//         store.get(storageKey(key), ...);                 // until onRead() resolves it
 //
-// A transaction whose answer was lost is never sent again. A read that shows neither the write nor a competitor's leaves
-// it unfinishedCount, for it may still take effect; a new move of the same row is then safe, because both compare the same
-// revision and carry their own nonces, of which at most one can be found later.
+// A transaction whose answer was lost is never resent. If a read shows neither its write nor a competing one, it stays
+// in doubt, because it may still take effect. A new move of the same row is safe even then: both compare the same
+// revision and carry their own nonces, so at most one of them can be found later.
 
 #pragma once
 
@@ -37,7 +37,7 @@
 struct Move {
     MoveId id;
     MoveKind kind = MoveKind::Claim;
-    // The entry that is to be read where the answer is lost.
+    // The entry to read if the answer is lost.
     std::string key;
     base::Transaction transaction;
 };
@@ -45,12 +45,12 @@
 enum class MoveState {
     // No answer yet.
     Sent,
-    // Its answer was lost: the entry has to be read.
+    // The answer was lost; the entry must be read.
     NeedsRead,
-    // The read showed the entry as it was before: the transaction may still take effect.
+    // A read showed the entry unchanged; the transaction may still take effect.
     InDoubt,
     Committed,
-    // It was certainly not carried out and never will be.
+    // The transaction was definitely not applied and never will be.
     Failed,
 };
 
@@ -58,28 +58,28 @@
 public:
     explicit Mover(Holder self);
 
-    // Creates a row that does not exist, for this process.
+    // Creates a row for this process; fails if the row exists.
     Move claim(const RowKey&, std::string payload, base::Revision read);
-    // Creates a row that does not exist, for another process.
+    // Creates a row for another process; fails if the row exists.
     Move assign(const RowKey&, const Holder& to, std::string payload, base::Revision read);
-    // Makes a row that names this instance the row of this process. Needed after a restart: without a new revision a late
-    // release of the predecessor would free the row under its user.
+    // Assigns a row that names this instance to this process. Needed after a restart: without a new revision, a late
+    // release by the previous process would delete the row while it is in use.
     Move adopt(const Row&, base::Revision read);
     // Takes a row over from a holder that has stopped.
     Move takeOver(const Row&, const TakeoverProof&, const Holder& to, std::string payload, base::Revision read);
-    // Gives a row of this process to another; the row is relinquished first.
+    // Transfers a row of this process to another; relinquishes the row first.
     Move handOver(const Row&, HolderState&, const Holder& to, base::Revision read);
-    // Deletes a row of this process; the row is relinquished first.
+    // Deletes a row of this process; relinquishes the row first.
     Move release(const Row&, HolderState&);
-    // Writes and lifts the mark that an instance is gone.
+    // Creates and deletes the mark that an instance is gone.
     Move markGone(const base::InstanceId&);
     Move liftMark(const GoneMark&);
 
     MoveState onOutcome(MoveId, const base::Outcome<base::TransactionReply>&);
-    // A read of the move's key by a request that was sent after the transaction.
+    // Applies a read of the move's key that was requested after the transaction was sent.
     MoveState onRead(MoveId, const base::RangeReply&);
     MoveState state(MoveId) const;
-    // The row as the move has written it, once it is Committed and unless it was a release or about a mark.
+    // The row written by the move, once it is Committed. Empty for releases and marks.
     std::optional<Row> written(MoveId) const;
     void forget(MoveId);
     size_t unfinishedCount() const;
--- a/packages/assignments/include/toucanstep/assignments/Row.h
+++ b/packages/assignments/include/toucanstep/assignments/Row.h
@@ -1,10 +1,11 @@
-// An assignment: a row of the key-value service that names the one process holding something exclusive or bounded.
+// An assignment: a row in the key-value service that names the single process holding an exclusive or bounded
+// resource.
 //
 //     Row row { .key = { RowKind::ReplicaSlot, "model-a", 0 }, .holder = self, .epoch = epoch };
 //     put(storageKey(row.key), encodeRow(row));
 //
-// A row is stored under /toucanstep/assignments/KIND/SUBJECT/SLOT as one MessagePack value. Its epoch grows with every
-// write of the key, also across a deletion, and serves as the fencing number of orders given under it.
+// A row is stored under /toucanstep/assignments/KIND/SUBJECT/SLOT as one MessagePack value. Its epoch increases with
+// every write of the key, even across deletions, and serves as the fencing token of orders issued under it.
 
 #pragma once
 
@@ -18,9 +19,9 @@
 
 namespace toucanstep::assignments {
 
-// Told anew by each process when it starts, so that a restart on the same instance is told apart from its predecessor.
+// Chosen by each process at startup; distinguishes a restarted process from the previous one on the same instance.
 using StartNonce = base::StrongId<struct StartNonceTag>;
-// Names one attempt to write a row; what a lost answer is settled by.
+// Identifies one attempt to write a row; used to resolve a write whose answer was lost.
 using WriteNonce = base::StrongId<struct WriteNonceTag>;
 
 enum class RowKind {
@@ -40,7 +41,7 @@
 
 struct Holder {
     base::InstanceId instance;
-    // Empty where the writer does not know the process; the instance then has to adopt the row before it uses it.
+    // Empty if the writer does not know the process. The instance must then adopt the row before using it.
     StartNonce start;
 
     friend bool operator==(const Holder&, const Holder&) = default;
@@ -51,9 +52,9 @@
     Holder holder;
     base::Epoch epoch;
     WriteNonce writer;
-    // Opaque to this library; what the kind keeps with its row.
+    // Data of the row's kind; opaque to this library.
     std::string payload;
-    // The revision that isWrittenBy the row; not part of the stored value.
+    // The revision that wrote the row; not part of the stored value.
     base::Revision modified;
 
     friend bool operator==(const Row&, const Row&) = default;
@@ -61,25 +62,25 @@
 
 std::string_view rowKindName(RowKind);
 
-// All rows, and all rows of one kind, lie under these prefixes.
+// Key prefixes of all rows, and of all rows of one kind.
 inline constexpr std::string_view allRowsPrefix = "/toucanstep/assignments/";
 std::string kindPrefix(RowKind);
-// The subject is percent-encoded, so that a slash in it cannot findReachable into another key.
+// The subject is percent-encoded so that a slash in it cannot change the key's structure.
 std::string storageKey(const RowKey&);
-// Fails with Malformed for a key that storageKey() cannot have made.
+// Fails with Malformed for a key that storageKey() cannot produce.
 base::Result<RowKey> parseStorageKey(std::string_view);
 
 std::string encodeRow(const Row&);
-// Fails with Malformed where key or value is not a row.
+// Fails with Malformed if the key or the value is invalid.
 base::Result<Row> decodeRow(const base::KeyValue&);
 
-// Says that the platform's list has dropped an instance and that its rows are about to be taken. Its revision is what
-// voters promise under and what each taking compares.
+// Records that the platform's list has dropped an instance and that its rows are about to be taken over. Voters
+// promise under the revision of this entry, and each takeover compares it.
 std::string goneMarkKey(const base::InstanceId&);
 inline constexpr std::string_view goneMarksPrefix = "/toucanstep/gone/";
 base::Result<base::InstanceId> parseGoneMarkKey(std::string_view);
 
-// The epoch for a write that was decided on a read at `read`: above every epoch that key ever had.
+// The epoch for a write based on a read at revision `read`; greater than every earlier epoch of that key.
 base::Epoch nextEpoch(base::Revision read);
 
 } // namespace toucanstep::assignments
--- a/packages/assignments/include/toucanstep/assignments/VoterSet.h
+++ b/packages/assignments/include/toucanstep/assignments/VoterSet.h
@@ -1,8 +1,8 @@
-// The gateways that are asked whether a holder is still received, agreed through one entry of the key-value service.
+// The gateways that vote on whether a holder is alive, agreed on through one entry of the key-value service.
 //
-// A holder that hears a majority and a taker that asks a majority meet in one gateway, but only if both mean the same
-// set. So the set is versioned, a change keeps the former set until a majority of it has promised to vouch under it no
-// more, and a taker needs a majority of each set that is kept.
+// A majority that vouches for a holder and a majority that answers a taker overlap in at least one gateway, but only
+// if both refer to the same set. The set is therefore versioned: a change keeps the previous set until a majority of
+// it has promised to stop vouching under it, and a taker needs a majority of each set that is kept.
 
 #pragma once
 
@@ -29,9 +29,9 @@
 
 struct VoterSets {
     VoterSet current;
-    // The former set, until it is retired.
+    // The previous set, until it is retired.
     std::optional<VoterSet> previous;
-    // The revision that isWrittenBy the entry; zero where there is none yet.
+    // The revision that wrote the entry; zero if there is none yet.
     base::Revision modified;
 };
 
@@ -40,13 +40,14 @@
 std::string encodeVoterSets(const VoterSets&);
 base::Result<VoterSets> decodeVoterSets(const base::KeyValue&);
 
-// The transaction that makes `members` the current set, or nothing while a former set is still kept.
+// The transaction that makes `members` the current set. Empty while a previous set is kept, or if `members` is empty
+// or unchanged.
 std::optional<base::Transaction> changeVoterSet(const VoterSets&, const std::set<base::InstanceId>& members);
-// The transaction that drops the former set, once a majority of its members is in `promised`: members that said they
-// know the current generation, or that the list has dropped for longer than a voter vouches without it.
+// The transaction that removes the previous set once a majority of its members is in `promised`: members that reported
+// knowing the current generation, or that the list dropped longer ago than a voter vouches without it.
 std::optional<base::Transaction> retirePrevious(const VoterSets&, const std::set<base::InstanceId>& promised);
 
-// Whether `voters` holds a majority of each set that is kept.
+// Whether `voters` includes a majority of each set that is kept.
 bool isMajorityOfEachSet(const VoterSets&, const std::set<base::InstanceId>& voters);
 
 } // namespace toucanstep::assignments
--- a/packages/assignments/include/toucanstep/assignments/VoterState.h
+++ b/packages/assignments/include/toucanstep/assignments/VoterState.h
@@ -1,9 +1,9 @@
-// The gateway's part in moving the rows of an instance that the platform has dropped.
+// A gateway's vote in moving the rows of an instance that the platform has dropped.
 //
-// A voter remembers when it last vouched for each instance, says so when asked, and once it has promised under a gone
-// mark it never vouches for that instance while the mark stands. A voter that has just started has lost that memory: it
-// vouches for nobody before it has read the marks from the service, and its word that it has not received an instance
-// counts only once it has been up for Timing::absence, because its predecessor may have vouched until it died.
+// A voter records when it last vouched for each instance and reports this when queried. Once it has promised under a
+// gone mark, it does not vouch for that instance while the mark exists. A restarted voter has lost this state: it
+// vouches for no instance until it has read the marks from the service, and its report that an instance is silent
+// counts only once it has been up for Timing::absence, because its previous process may have vouched until it died.
 
 #pragma once
 
@@ -25,12 +25,12 @@
     friend bool operator==(const GoneMark&, const GoneMark&) = default;
 };
 
-// What a voter tells a taker.
+// A voter's answer to a taker's query.
 struct VoterReply {
     base::InstanceId voter;
-    // How long this voter has not vouched for the instance; no longer than it has been up.
+    // How long this voter has not vouched for the instance; at most its own uptime.
     base::Duration silentFor {};
-    // The mark under which it has promised not to vouch; zero where none was asked for.
+    // The mark under which it has promised not to vouch; zero without a promise.
     base::Revision promisedUnder;
 };
 
@@ -38,16 +38,17 @@
 public:
     VoterState(base::InstanceId self, Timing, base::Instant startedAt);
 
-    // A read of the marks, at that revision, and of the voterSets, by requests sent after this process started. The voter
-    // takes its voterSet from nowhere else, and voterSets that were written after the marks were read are left for the
-    // next read: only so does it know every mark that stood when it became a member.
+    // Applies a read of the marks at that revision and of the voter sets, requested after this process started. The
+    // voter learns its voter set only here. Voter sets written after the marks were read are ignored until the next
+    // read, so that a voter knows every mark that existed when it became a member.
     void onServiceRead(base::Revision, const std::vector<GoneMark>&, const std::optional<VoterSets>&);
-    // The platform's list showed this voter, by a request sent at `sentAt`.
+    // Records that the platform's list showed this voter in answer to a request sent at `sentAt`.
     void onListed(base::Instant sentAt);
 
-    // An instance asks to be vouched for: false where the voter must not, or cannot know whether it may. The answer goes back with generation().
+    // Handles an instance's request for a vote. Returns false if the voter has promised not to vouch, has not read the
+    // marks, or was not listed recently enough. The answer is sent with generation().
     bool vouchFor(const base::InstanceId&, base::Instant now);
-    // A taker asks, with the revision of the gone mark once it stands.
+    // Handles a taker's query. `mark` is the revision of the gone mark, or zero before there is one.
     VoterReply onAbsenceQuery(const base::InstanceId&, base::Revision mark, base::Instant now);
 
     Generation generation() const { return m_voterSet.generation; }
@@ -59,7 +60,7 @@
     base::InstanceId m_self;
     Timing m_timing;
     base::Instant m_startedAt;
-    // When votes that nobody can need any more were last dropped.
+    // When votes that are too old to matter were last removed.
     base::Instant m_lastPrunedAt;
     bool m_hasRead = false;
     base::Revision m_marksRead;
--- a/packages/assignments/src/AssignmentTable.cpp
+++ b/packages/assignments/src/AssignmentTable.cpp
@@ -5,7 +5,7 @@
 namespace toucanstep::assignments {
 
 namespace {
-// Deletions are remembered so that a late event does not undo them, up to this many.
+// Maximum number of deleted keys to remember; they prevent a late event from restoring a deleted row.
 constexpr size_t maxTombstones = 4096;
 }
 
@@ -59,7 +59,7 @@
     return malformed;
 }
 
-// The row of an entry; one that is known at the same revision is not decoded again, which is most of the work of a read.
+// Returns the row of an entry. Reuses a row known at the same revision, since decoding is most of the cost of a read.
 base::Result<Row> AssignmentTable::rowOf(const base::KeyValue& entry) const
 {
     BOOST_LEAF_AUTO(key, parseStorageKey(entry.key));
--- a/packages/assignments/src/FailureDetector.cpp
+++ b/packages/assignments/src/FailureDetector.cpp
@@ -45,7 +45,8 @@
         if (!watched.absentSince)
             watched.absentSince = now;
         watched.absentAskedAt = exchange.sentAt;
-        // A later version without an instance that an earlier one showed is the platform's word, whatever the lag.
+        // A later version without an instance that an earlier version showed proves that it was dropped, regardless of
+        // the lag.
         watched.dropped = watched.dropped || (version && watched.shownVersion && *version > *watched.shownVersion);
     }
 }
@@ -80,7 +81,8 @@
         return;
     auto& replies = found->second.replies;
     auto known = replies.find(reply.voter);
-    // Replies may cross: one without the promise, or under an earlier mark, does not undo a later one.
+    // Replies may arrive out of order: one without a promise, or under an earlier mark, does not replace a later
+    // promise.
     bool older = known != replies.end() && known->second.reply.promisedUnder > reply.promisedUnder;
     if (!older)
         replies[reply.voter] = ReceivedReply { reply, now };
@@ -113,7 +115,7 @@
 {
     std::set<base::InstanceId> stopped;
     for (const auto& [voter, received] : watched.replies) {
-        // What that voter vouched for before it promised has ended once the rest of the time has passed here.
+        // Votes given before the promise have expired once the remaining time has passed locally.
         Instant endsAt = received.receivedAt + std::max(base::Duration::zero(), m_timing.absence - received.reply.silentFor);
         if (received.reply.promisedUnder == watched.mark && now >= endsAt)
             stopped.insert(voter);
--- a/packages/assignments/src/HolderState.cpp
+++ b/packages/assignments/src/HolderState.cpp
@@ -16,7 +16,7 @@
 
 void HolderState::onServiceRead(Exchange exchange, Instant now, base::Revision revision, bool marked, const std::optional<VoterSets>& voterSets)
 {
-    // An answer after its deadline may have lain anywhere meanwhile; nothing is concluded from it.
+    // An answer past its deadline may have been delayed anywhere, so it proves nothing.
     if (now > exchange.deadline || revision < m_markKnownAt)
         return;
     m_markKnownAt = revision;
@@ -25,7 +25,7 @@
     if (voterSets)
         onVoterSet(voterSets->current);
     if (m_marked) {
-        // The rows may move from here on, and a mark that is lifted later does not bring them back.
+        // The rows may move from now on, and deleting the mark later does not restore them.
         m_hasRead = false;
         return;
     }
@@ -52,8 +52,8 @@
 
 void HolderState::onVoterAnswer(Exchange exchange, Instant now, const base::InstanceId& voter, Generation generation, bool vouches)
 {
-    // A voter that knows a later set has promised not to vouch under this one. One that knows only a former set may lack
-    // marks that were written before it became a member of this one.
+    // A voter with a later set has promised not to vouch under this one. A voter with an earlier set may be missing
+    // marks written before it became a member of this one.
     bool counts = vouches && now <= exchange.deadline && generation == m_voterSet.generation && m_voterSet.members.count(voter);
     if (!counts)
         return;
@@ -71,7 +71,7 @@
     if (voterSet.generation <= m_voterSet.generation)
         return;
     m_voterSet = voterSet;
-    // Votes that were given for the former set do not make a majority of this one.
+    // Votes given under the previous set do not count towards a majority of this one.
     m_vouchedAt.clear();
 }
 
@@ -106,7 +106,7 @@
     return latest ? *latest + m_timing.holderLimit : Instant::min();
 }
 
-// A lapse shows when the next proof comes: it was asked for after the former ones had ended.
+// A lapse is detected when the next proof arrives: its request was sent after the earlier proofs had expired.
 void HolderState::detectLapse(Instant continuous)
 {
     auto evidence = newestEvidence();
--- a/packages/assignments/src/Mover.cpp
+++ b/packages/assignments/src/Mover.cpp
@@ -11,7 +11,7 @@
 {
     base::Transaction transaction;
     transaction.comparisons.push_back({ storageKey(row.key), compared });
-    // An instance that is marked as gone is given nothing.
+    // Never assign rows to an instance that is marked as gone.
     transaction.comparisons.push_back({ goneMarkKey(row.holder.instance), base::Revision() });
     transaction.operations.push_back(base::PutOperation { storageKey(row.key), encodeRow(row), std::nullopt });
     return transaction;
@@ -19,13 +19,13 @@
 
 bool isAboutMark(MoveKind kind) { return kind == MoveKind::MarkGone || kind == MoveKind::LiftMark; }
 
-// Whether the move is done with once the entry is no longer what it was, whoever changed it.
+// Whether the move is complete once the entry has changed, whoever changed it.
 bool completesOnAnyChange(MoveKind kind)
 {
     return kind == MoveKind::Release || kind == MoveKind::HandOver || kind == MoveKind::LiftMark;
 }
 
-// Whether the error says that the transaction was certainly not carried out.
+// Whether the error proves that the transaction was not applied.
 bool isDefinitelyNotApplied(const base::Error& error)
 {
     return error.kind == base::ErrorKind::Unavailable || error.kind == base::ErrorKind::Rejected;
@@ -81,7 +81,7 @@
 Move Mover::takeOver(const Row& row, const TakeoverProof& proof, const Holder& to, std::string payload, base::Revision read)
 {
     Row taken { .key = row.key, .holder = to, .epoch = nextEpoch(read), .payload = std::move(payload) };
-    // The proof that the holder has stopped was gathered under this mark and these voters, and is good only with them.
+    // The proof was collected under this mark and these voter sets and is valid only while both are unchanged.
     return write(MoveKind::TakeOver, std::move(taken), row.modified,
         { { goneMarkKey(proof.instance), proof.mark }, { std::string(voterSetsKey), proof.voterSets } });
 }
@@ -153,7 +153,7 @@
     auto entry = std::find_if(reply.entries.begin(), reply.entries.end(), [&](const base::KeyValue& candidate) { return candidate.key == pending.key; });
     base::Revision current = entry == reply.entries.end() ? base::Revision() : entry->modified;
     if (current == pending.compared) {
-        // The transaction may still lie somewhere on its way.
+        // The transaction may still be in transit.
         pending.state = MoveState::InDoubt;
         return pending.state;
     }
--- a/packages/assignments/src/Row.cpp
+++ b/packages/assignments/src/Row.cpp
@@ -112,7 +112,7 @@
 
 Result<RowKey> parseStorageKey(std::string_view text)
 {
-    auto malformed = [&] { return base::fail(ErrorKind::Malformed, base::concat("not the key of an assignment: ", text)); };
+    auto malformed = [&] { return base::fail(ErrorKind::Malformed, base::concat("malformed assignment key: ", text)); };
     if (text.substr(0, allRowsPrefix.size()) != allRowsPrefix)
         return malformed();
     std::string_view rest = text.substr(allRowsPrefix.size());
@@ -126,7 +126,7 @@
     if (!kind || !subject || !slot)
         return malformed();
     RowKey key { *kind, *subject, *slot };
-    // A number with leading zeroes, or a needless escape, would give one row two keys.
+    // Leading zeros or unnecessary escapes would give one row two keys.
     if (storageKey(key) != text)
         return malformed();
     return key;
@@ -151,7 +151,7 @@
     bool wellFormed = fields.is_array() && fields.size() == 5 && fields[0].is_string() && fields[1].is_string()
         && fields[2].is_number_integer() && fields[3].is_string() && fields[4].is_binary();
     if (!wellFormed)
-        return base::fail(ErrorKind::Malformed, base::concat("not the value of an assignment: ", entry.key));
+        return base::fail(ErrorKind::Malformed, base::concat("malformed assignment value: ", entry.key));
     const auto& payload = fields[4].get_binary();
     return Row {
         .key = key,
@@ -175,12 +175,13 @@
         if (instance && goneMarkKey(base::InstanceId(*instance)) == key)
             return base::InstanceId(*instance);
     }
-    return base::fail(ErrorKind::Malformed, base::concat("not the key of a mark: ", key));
+    return base::fail(ErrorKind::Malformed, base::concat("malformed gone mark key: ", key));
 }
 
 base::Epoch nextEpoch(base::Revision read)
 {
-    // Every earlier epoch of the key is at most the revision that isWrittenBy it, and so at most the revision of the read.
+    // An earlier epoch of the key is at most the revision that wrote it, and therefore at most the revision of the
+    // read.
     return base::Epoch(read.value() + 1);
 }
 
--- a/packages/assignments/src/Timing.cpp
+++ b/packages/assignments/src/Timing.cpp
@@ -5,7 +5,7 @@
 namespace {
 constexpr int64_t million = 1'000'000;
 
-// Splits the product, so that hours of nanoseconds do not overflow.
+// Splits the multiplication so that durations of hours in nanoseconds do not overflow.
 base::Duration scaled(base::Duration duration, int64_t partsPerMillion)
 {
     int64_t whole = duration.count() / million * partsPerMillion;
--- a/packages/assignments/src/VoterSet.cpp
+++ b/packages/assignments/src/VoterSet.cpp
@@ -56,7 +56,7 @@
 
 base::Result<VoterSets> decodeVoterSets(const base::KeyValue& entry)
 {
-    auto malformed = [&] { return base::fail(base::ErrorKind::Malformed, base::concat("not the value of an electorate: ", entry.key)); };
+    auto malformed = [&] { return base::fail(base::ErrorKind::Malformed, base::concat("malformed voter set value: ", entry.key)); };
     auto fields = base::parseMessagePack(entry.value, 3);
     if (!fields.is_array() || fields.empty() || fields.size() > 2)
         return malformed();
--- a/packages/assignments/src/VoterState.cpp
+++ b/packages/assignments/src/VoterState.cpp
@@ -22,7 +22,7 @@
     bool covered = voterSets && voterSets->modified <= revision;
     if (covered && voterSets->current.generation > m_voterSet.generation)
         m_voterSet = voterSets->current;
-    // A promise for a mark that was written after this read stands; of the others the read tells which marks are left.
+    // Promises for marks written after this read are kept. For all others, the read shows which marks still exist.
     for (auto promise = m_promised.begin(); promise != m_promised.end();)
         promise = promise->second <= revision ? m_promised.erase(promise) : std::next(promise);
     for (const auto& mark : marks) {
--- a/packages/assignments/test/FleetModel.cpp
+++ b/packages/assignments/test/FleetModel.cpp
@@ -45,7 +45,7 @@
     Instant local(Duration real) const { return Instant(real + Duration(real.count() / million * drift)); }
 
     size_t slot;
-    // How much faster its clock runs than real time, in parts of a million.
+    // How much faster its clock runs than real time, in parts per million.
     int64_t drift;
     std::unique_ptr<HolderState> holder;
     std::unique_ptr<FailureDetector> detector;
@@ -67,7 +67,7 @@
     bool cutFromList = false;
     Duration nextHeartbeat {};
     Duration lag {};
-    // The end of a process that runs on after the list has dropped its instance.
+    // When a process that keeps running after the list has dropped its instance is terminated.
     Duration stopsAt = Duration::max();
     std::map<RowKey, MoveId> moving;
     std::vector<std::function<void(Process&)>> inbox;
@@ -180,7 +180,7 @@
     run(command.then);
 }
 
-// The list drops the slot's instance and shows a new one; the former process runs on.
+// The list drops the slot's instance and shows a new one; the previous process keeps running.
 void Fleet::replace(size_t slot)
 {
     InstanceId former = m_instanceOf[slot];
@@ -230,7 +230,7 @@
 
 void Fleet::deliver(const std::weak_ptr<Process>& target, Duration when, std::function<void(Process&)> act)
 {
-    // Now and then a message arrives twice.
+    // Occasionally delivers a message twice.
     if (m_options.lossyNetwork && chance(duplicatePercent))
         at(when + networkDelay(), [this, target, act, when] { deliver(target, when, act); });
     at(when, [target, act = std::move(act)] {
@@ -257,7 +257,7 @@
         std::erase_if(m_dropped, [&](const auto& process) { return m_now >= process->stopsAt; });
         refreshAlive();
     }
-    // After a pause a process may use its rows before it handles anything that has arrived.
+    // After a pause, a process may use its rows before it handles queued messages.
     checkExclusiveUse();
     auto running = m_alive;
     for (const auto& process : running) {
@@ -291,7 +291,7 @@
         maintainVoterSet(process);
 }
 
-// Marks and rows are read by two requests that are sent together, and may show two revisions.
+// Marks and rows are read by two concurrent requests, which may return different revisions.
 void Fleet::readService(Process& process)
 {
     struct Reading {
@@ -362,10 +362,11 @@
 {
     Instant sentAt = process.local(m_now);
     Exchange exchange { sentAt, sentAt + callTimeout };
-    // A cut process keeps getting what the list showed before; the list's lag bounds for how long.
+    // A process that is cut off from the list gets no answer and keeps the state it last saw.
     if (process.cutFromList || (m_options.lossyNetwork && chance(lossPercent)))
         return;
-    // Mostly the same copy of the list answers, as far behind as before; now and then another one, which may go back.
+    // Usually the same replica of the list answers, with the same lag. Occasionally another replica answers, which may
+    // show an older state.
     if (chance(lagChangePercent))
         process.lag = m_options.timing.listLag * static_cast<int64_t>(randomIndex(100)) / 100;
     Duration shownAt = m_now - process.lag;
@@ -539,7 +540,7 @@
     commit(process, move.transaction, [this, id, key, takesOver](Process& self, const auto& outcome) {
         MoveState state = self.mover.onOutcome(id, outcome);
         if (state == MoveState::NeedsRead) {
-            // Read back until something is known; the table's own reads show the row meanwhile.
+            // Reads the entry back to resolve the move; until then the table's own reads show the row.
             read(self, [this, id, key, takesOver](Process& reader, Exchange, const base::RangeReply& reply) {
                 MoveState settled = reader.mover.onRead(id, reply);
                 if (settled == MoveState::Committed && takesOver)
@@ -568,7 +569,7 @@
     });
     if (process.cutFromService || (m_options.lossyNetwork && chance(lossPercent)))
         return;
-    // A request may lie on its way for long and take effect after its sender has given it up, or died.
+    // A request may be delayed for long and take effect after its sender has timed out or died.
     bool late = m_options.lossyNetwork && chance(latePercent);
     Duration arrival = m_now + (late ? seconds(1 + static_cast<int64_t>(randomIndex(30))) : networkDelay());
     at(arrival, [this, sender, settled, transaction, then] {
--- a/packages/assignments/test/FleetModel.h
+++ b/packages/assignments/test/FleetModel.h
@@ -1,8 +1,9 @@
-// A small fleet around the assignments library, for histories: a key-value service with outages and lost, late and
-// crossed answers; a lagging list; processes with drifting clocks that die, pause, restart, and are cut off.
+// Deterministic simulation of a small fleet using the assignments library. It models a key-value service with outages
+// and with lost, late and reordered answers; an instance list that lags; and processes with drifting clocks that
+// crash, pause, restart and lose their connections.
 //
-// Time is virtual and every choice comes from a seeded generator, so that a history is repeated exactly by its commands
-// and its seed. After every step the fleet is asked voters may use each row; two at once is a violation.
+// Time is virtual and all randomness comes from a seeded generator, so a history is reproduced exactly by its commands
+// and seed. After every step the simulation checks which processes may use each row; two at once is a violation.
 
 #pragma once
 
@@ -29,13 +30,13 @@
     LeaseExpiry,
 };
 
-// Where tests put their seeded faults in.
+// Lets tests inject faulty components.
 class ComponentFactory {
 public:
     virtual ~ComponentFactory() = default;
     virtual std::unique_ptr<HolderState> makeHolder(const Holder& self, const Timing& timing) const { return std::make_unique<HolderState>(self, timing); }
     virtual std::unique_ptr<FailureDetector> makeDetector(const Timing& timing) const { return std::make_unique<FailureDetector>(timing); }
-    // Whether a restarted process rewrites the rows of its predecessor before it uses them.
+    // Whether a restarted process rewrites the rows of its previous process before using them.
     virtual bool adoptsRows() const { return true; }
 };
 
@@ -53,24 +54,24 @@
 };
 
 enum class FleetAction {
-    // Time passes.
+    // Advances time.
     Run,
     Crash,
-    // A new process on the same instance.
+    // Starts a new process on the same instance.
     Restart,
-    // The list drops the instance and a new one takes its place; the former process runs on, connected as before.
+    // The list replaces the instance with a new one; the previous process keeps running with its connections.
     Replace,
-    // The same, and the former process is cut from its peers, and by chance from the service and the list.
+    // Like Replace, but the previous process loses its peers and, at random, the service and the list.
     ReplaceAndCut,
-    // The same, and the former process has died.
+    // Like Replace, but the previous process has died.
     ReplaceAndCrash,
     Pause,
     Resume,
-    // These cut every process that runs in the slot, or has run there.
+    // These apply to every process that runs, or has run, in the slot.
     CutFromPeers,
     CutFromService,
     CutFromList,
-    // Mends all connections of all processes.
+    // Restores all connections of all processes.
     Heal,
     StartOutage,
     EndOutage,
@@ -81,7 +82,7 @@
 struct FleetCommand {
     FleetAction action = FleetAction::Run;
     size_t slot = 0;
-    // How long the fleet runs after it.
+    // How long to run the fleet after the action.
     base::Duration then {};
 };
 
@@ -93,13 +94,13 @@
     void perform(const FleetCommand&);
     void run(base::Duration);
 
-    // Empty while no row ever had two users at once.
+    // Empty unless a row had two users at once.
     const std::string& violation() const { return m_violation; }
-    // Which process may use the row now, by its slot in the fleet; counts paused processes as not using.
+    // The slot of the process that may use the row now. Paused processes do not count as users.
     std::optional<size_t> userOf(size_t row) const;
-    // Rows that changed hands without a release.
+    // Number of rows that changed holder without a release.
     int takeovers() const { return m_takeovers; }
-    // The time, summed over rows, during which nobody could use a row; and all time observed.
+    // Row-time without a user, summed over all rows; and the total row-time observed.
     base::Duration unusable() const { return m_unusable; }
     base::Duration observed() const { return m_observed; }
     void resetObservation();
@@ -129,7 +130,7 @@
     void refreshAlive();
     void changeList(const std::function<void(std::set<base::InstanceId>&)>&);
     void at(base::Duration, std::function<void()>);
-    // Runs on the process when it is next able to; never if it is dead.
+    // Runs the callback on the process as soon as it is not paused; never if it has died.
     void deliver(const std::weak_ptr<Process>&, base::Duration at, std::function<void(Process&)>);
     void tick();
     void onHeartbeat(Process&);
@@ -160,9 +161,9 @@
     std::priority_queue<Event> m_events;
     std::vector<std::shared_ptr<Process>> m_slots;
     std::vector<base::InstanceId> m_instanceOf;
-    // Processes whose instance the list has dropped, and which still run.
+    // Running processes whose instances the list has dropped.
     std::vector<std::shared_ptr<Process>> m_dropped;
-    // Those of the slots and the dropped ones that live.
+    // All live processes, from the slots and the dropped ones.
     std::vector<std::shared_ptr<Process>> m_alive;
     std::vector<ListState> m_list;
     std::map<std::string, base::KeyValue> m_store;
--- a/packages/assignments/test/HistoryTest.cpp
+++ b/packages/assignments/test/HistoryTest.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-// Clocks that differ by ten parts in a hundred, so that drift shows within a short history.
+// Clocks that differ by up to ten percent, so that drift has an effect within a short history.
 Timing driftingTiming()
 {
     Timing timing;
@@ -45,7 +45,7 @@
 
 rc::Gen<Commands> anyCommand()
 {
-    // Running is the most frequent, so that what a fault starts has time to show.
+    // Run is the most frequent action, to give the effects of a fault time to appear.
     auto action = rc::gen::weightedOneOf<FleetAction>({
         { 6, rc::gen::just(FleetAction::Run) },
         { 2, rc::gen::element(FleetAction::Crash, FleetAction::Restart, FleetAction::Pause, FleetAction::Resume, FleetAction::Heal) },
@@ -58,7 +58,7 @@
     return rc::gen::map(command, [](const FleetCommand& one) { return Commands { one }; });
 }
 
-// A dropped process that runs on, and a second fault about when its rows move.
+// A dropped process that keeps running, with a second fault around the time its rows move.
 rc::Gen<Commands> droppedProcess()
 {
     return rc::gen::exec([] {
@@ -69,7 +69,7 @@
     });
 }
 
-// A process that is dropped while only the service can be reached from it, and then not even that.
+// A process that is dropped while it can reach only the service, and then loses the service too.
 rc::Gen<Commands> droppedWithStoreAccessOnly()
 {
     return rc::gen::exec([] {
@@ -78,7 +78,7 @@
     });
 }
 
-// A release that may still lie on its way when a new process has started on the same instance.
+// A release that may still be in transit when a new process starts on the same instance.
 rc::Gen<Commands> restartAfterRelease()
 {
     return rc::gen::exec([] {
@@ -87,7 +87,7 @@
     });
 }
 
-// A release that may still lie on its way while its sender cannot read the service.
+// A release that may still be in transit while its sender cannot read the service.
 rc::Gen<Commands> releaseWhileCut()
 {
     return rc::gen::exec([] {
@@ -122,7 +122,7 @@
     return options;
 }
 
-// Plays the history and returns its violation, or an empty string.
+// Runs the history and returns its violation, or an empty string.
 std::string runHistory(const History& history, const ComponentFactory* parts, int* takeovers = nullptr)
 {
     Fleet fleet(optionsOf(history, parts));
@@ -135,7 +135,7 @@
     return fleet.violation();
 }
 
-// Looks for a violation by a fault, in histories of the parts that are made to bring it out.
+// Searches for a violation caused by a fault, in histories built from the given commands.
 std::string findViolation(const ComponentFactory& parts, const rc::Gen<Commands>& part)
 {
     return counterexample(PropertyOptions { .seed = 5, .maxSuccess = 400, .maxSize = 20 }, [&] {
@@ -144,7 +144,7 @@
     });
 }
 
-// The faults that the histories must show.
+// Seeded faults that the histories must detect.
 
 class ServiceReadCounts final : public HolderState {
 public:
@@ -236,7 +236,7 @@
         if (!violation.empty())
             RC_FAIL(violation);
     });
-    // Without rows that move the property would say nothing.
+    // Without takeovers the property would prove nothing.
     CHECK_COMPARE(takeovers, >, 200);
 }
 
--- a/packages/assignments/test/ScenarioTest.cpp
+++ b/packages/assignments/test/ScenarioTest.cpp
@@ -20,7 +20,7 @@
     return options;
 }
 
-// A fleet in which every row has found its holder.
+// Returns a fleet in which every row has a holder.
 std::unique_ptr<Fleet> settledFleet(const FleetOptions& options)
 {
     auto fleet = std::make_unique<Fleet>(options);
@@ -43,8 +43,9 @@
 
 TEST_GROUP(Scenarios) {};
 
-// The key-value service is down for ten minutes and nothing else fails. With leases, every share lapses and callers
-// within their rate are refused all over the fleet. Here nothing lapses, because holders hear the list and the voters.
+// Guards against rows expiring during a ten-minute outage of the key-value service. With leases, every share would
+// expire and callers within their rate would be refused throughout the fleet. Here the list and the voters keep the
+// holders in use.
 TEST(Scenarios, AnOutageAloneStopsNoHolder)
 {
     auto fleet = settledFleet(reliableNetworkOptions());
@@ -53,8 +54,8 @@
     STRCMP_EQUAL("", fleet->violation().c_str());
 }
 
-// The list cannot be reached by one holder and the service is down for all. Callers would see its rows unused although
-// the process is well; the gateways that hear it vouch for it.
+// One holder cannot reach the list while the service is down. Its rows must stay in use, because the gateways that
+// receive its requests vouch for it.
 TEST(Scenarios, AHolderWithoutListAndServiceContinuesOnVotesAlone)
 {
     auto fleet = settledFleet(reliableNetworkOptions());
@@ -63,8 +64,8 @@
     CHECK_EQUAL(0, fleet->unusable().count());
 }
 
-// A holder dies while the service is down. Its own rows wait for the service's return, because nobody can write; the
-// other rows stay in use, and afterwards the rows of the dead come back without two users.
+// A holder dies while the service is down. Its rows stay unused until the service returns, because nothing can be
+// written; all other rows stay in use. Afterwards the rows of the dead holder recover without two users.
 TEST(Scenarios, ACrashInAnOutageStopsOnlyTheRowsOfTheCrashedHolder)
 {
     auto fleet = settledFleet(reliableNetworkOptions());
@@ -87,9 +88,9 @@
     STRCMP_EQUAL("", fleet->violation().c_str());
 }
 
-// A virtual machine is paused with a row in hand; the platform replaces it, another process takes the row, and the
-// paused one goes on where it stopped. Two processes would admit the same account's tokens. The check of the time
-// directly before each use stops the former holder at its first step.
+// A virtual machine is paused while holding a row, the platform replaces it, another process takes the row over, and
+// the paused one resumes. Both would then admit the same account's tokens. Checking the time directly before each use
+// stops the previous holder at its first step.
 TEST(Scenarios, AHolderThatWasPausedAndReplacedDoesNotUseItsRowAgain)
 {
     auto fleet = settledFleet(reliableNetworkOptions());
@@ -101,8 +102,8 @@
     STRCMP_EQUAL("", fleet->violation().c_str());
 }
 
-// A pause of half a minute in the middle of an outage, on an instance that the list still shows. The list alone does not
-// bring the rows back, because they could have moved; the voters, voters would have promised a taker, do.
+// A holder whose instance is still listed pauses for 30 seconds during an outage. The list alone does not restore use,
+// because the rows could have moved; the voters do, since they would have promised any taker.
 TEST(Scenarios, APauseInAnOutageDoesNotStopAHolderForLong)
 {
     auto fleet = settledFleet(reliableNetworkOptions());
@@ -114,8 +115,8 @@
     STRCMP_EQUAL("", fleet->violation().c_str());
 }
 
-// The platform drops an instance that is cut from everything and runs on. Whoever still holds a connection to it would
-// be served beside the new holder; it stops by its own clock before its rows move.
+// The platform drops an instance that is disconnected but keeps running. Clients still connected to it would be served
+// alongside the new holder, so it must stop by its own clock before its rows move.
 TEST(Scenarios, ADroppedProcessThatRunsOnStopsBeforeItsRowsMove)
 {
     for (uint64_t seed = 1; seed <= 20; ++seed) {
@@ -133,8 +134,8 @@
     }
 }
 
-// A process restarts on the same instance while the service is down. Its predecessor's rows must not be used before one
-// read, because it cannot know whether they were given away; they come back once the service does.
+// A process restarts on the same instance while the service is down. It must read the service once before using its
+// predecessor's rows, because they may have been reassigned. The rows are usable again once the service returns.
 TEST(Scenarios, ARestartInAnOutageWaitsForOneReadOfTheService)
 {
     auto fleet = settledFleet(reliableNetworkOptions());
@@ -147,8 +148,8 @@
     CHECK_TRUE(fleet->userOf(0) == holder);
 }
 
-// What each failure costs with leases that expire and with this rule: the share of rows x time without a user. The
-// figures of docs/design/assignments.md come from this test.
+// Measures the fraction of row-time without a user for each failure, with expiring leases and with this protocol. The
+// figures in docs/design/assignments.md come from this test.
 TEST(Scenarios, ComparedWithExpiringLeases)
 {
     struct Cost {
--- a/packages/assignments/test/UnitTest.cpp
+++ b/packages/assignments/test/UnitTest.cpp
@@ -62,7 +62,7 @@
         CHECK_FALSE(valueOr(error, [&] { return parseStorageKey(key); }).has_value());
 }
 
-// A value of nested arrays, one byte each. The parser would call itself for each until the stack is used up.
+// A value of nested arrays, one byte per level. A recursive parser would overflow the stack.
 TEST(Rows, DeeplyNestedValuesAreRejected)
 {
     Error error;
@@ -71,8 +71,8 @@
 
 TEST_GROUP(Tables) {};
 
-// Watch events and reads arrive crossed, one twice, from connections of different age. Whatever the order, the table
-// ends with what the newest of them said; an older row must not come back, because its holder may use it.
+// Watch events and reads arrive out of order and some twice, over connections of different age. In any order, the
+// table must end with the newest state: if an older row came back, its holder might use it.
 TEST(Tables, OlderAnswersNeverReplaceNewerOnes)
 {
     CHECK_PROPERTY([] {
@@ -113,8 +113,8 @@
 
 TEST_GROUP(Moving) {};
 
-// The answer to a claim is lost, and so is every hint of whether it was carried out. Claimed again blindly, the row would
-// have two writers' views; read back, the nonce tells.
+// The answer to a claim is lost, so its outcome is unknown. Claiming again blindly would leave two views of the
+// writer; reading the row back resolves the outcome by its nonce.
 TEST(Moving, ALostAnswerIsResolvedByTheNonce)
 {
     Mover mover(self);
@@ -126,8 +126,8 @@
     CHECK_EQUAL(6, mover.written(move.id)->epoch.value());
 }
 
-// The read that follows a lost answer overtakes the transaction, which lies on its way: the read shows nothing, a second
-// claim is sent, and then the first takes effect. Both compare the same revision, so one fails and the row is held once.
+// The read after a lost answer overtakes the transaction: it shows no row, a second claim is sent, and then the first
+// takes effect. Both compare the same revision, so one fails and the row has one holder.
 TEST(Moving, AReadThatOvertakesTheTransactionLeavesItInDoubt)
 {
     Mover mover(self);
@@ -141,8 +141,8 @@
     CHECK_EQUAL(0, mover.unfinishedCount());
 }
 
-// A release's answer is lost and a read still shows the row. Used again it would be freed under its user when the release
-// arrives, so it stays given up until a new revision names this process.
+// The answer to a release is lost and a read still shows the row. If the row were used again, the late release would
+// delete it while in use. It stays relinquished until a new revision names this process.
 TEST(Moving, AReleasedRowIsNotUsedAgainAtTheSameRevision)
 {
     HolderState holder(self, Timing {});
@@ -163,8 +163,8 @@
 
 TEST_GROUP(Holding) {};
 
-// An answer of the list that was asked for long ago arrives after its deadline, for example because the process was
-// paused. It says where the instance stood then, and must not prolong the use of rows now.
+// A list answer arrives after its deadline, for example because the process was paused. It shows an old state and must
+// not extend the use of rows.
 TEST(Holding, AnAnswerAfterItsDeadlineIsIgnored)
 {
     HolderState holder(self, Timing {});
@@ -177,9 +177,9 @@
     CHECK_FALSE(holder.mayUse(row, at(seconds(7) + milliseconds(1))));
 }
 
-// A holder is dropped and marked, its row is taken, the list shows it again by mistake and the mark is lifted; the holder
-// was paused through all of it. The list's next answer alone must not bring back the use of a row that has moved.
-TEST(Holding, AfterAGapTheListAloneDoesNotBringUseBack)
+// A holder is dropped and marked, its row is taken over, the list shows it again by mistake, and the mark is deleted,
+// all while the holder is paused. The next list answer alone must not restore use of a row that has moved.
+TEST(Holding, AfterAGapTheListAloneDoesNotRestoreUse)
 {
     HolderState holder(self, Timing {});
     Row row { share, self, Epoch(4), WriteNonce("n"), "", Revision(4) };
@@ -189,15 +189,15 @@
     holder.onListAnswer(sentAt(seconds(30)), at(seconds(30)), 2, true);
     CHECK_FALSE(holder.mayUse(row, at(seconds(30))));
     CHECK_TRUE(holder.hasLapsed(at(seconds(30))));
-    // A read that was asked for before the gap ended says nothing about it.
+    // A read requested before the gap ended proves nothing about it.
     holder.onServiceRead(sentAt(seconds(4)), at(seconds(4)), Revision(8), false, std::nullopt);
     CHECK_FALSE(holder.mayUse(row, at(seconds(30))));
     holder.onServiceRead(sentAt(seconds(30)), at(seconds(30)), Revision(9), false, std::nullopt);
     CHECK_TRUE(holder.mayUse(row, at(seconds(30))));
 }
 
-// The mark against an instance stands while the list shows it again. The process stops, may lift the mark itself, and uses
-// its rows only after it has read them without the mark.
+// A gone mark exists for an instance that the list shows again. The process stops, may delete the mark itself, and
+// uses its rows only after reading them without the mark.
 TEST(Holding, AMarkedHolderStopsUntilItHasReadThatTheMarkIsLifted)
 {
     HolderState holder(self, Timing {});
@@ -214,9 +214,9 @@
     CHECK_TRUE(holder.mayUse(row, at(seconds(2))));
 }
 
-// Two voters of three vouch, one of them under a newer set than the holder knows. That one has promised to vouch under
-// the holder's set no more, so the two are no majority.
-TEST(Holding, AVoterOfANewerSetDoesNotCountForTheFormer)
+// Two of three voters vouch, one of them under a newer set than the holder knows. That voter has promised to stop
+// vouching under the holder's set, so the two are not a majority.
+TEST(Holding, AVoterOfANewerSetDoesNotCountForThePreviousSet)
 {
     HolderState holder(self, Timing {});
     Row row { share, self, Epoch(4), WriteNonce("n"), "", Revision(4) };
@@ -228,8 +228,8 @@
     CHECK_TRUE(holder.mayUse(row, at({})));
 }
 
-// A holder's rows have moved under the former voters' promises. It hears of the new set from a gateway, and asks a new
-// member that has not read the service since it became one, and so knows nothing of the mark. Its word must not count.
+// A holder's rows have moved under promises of the previous voters. It learns the new set from a gateway and asks a
+// new member that has not read the service since joining and so does not know the mark. That vote must not count.
 TEST(Holding, AVoterWithAnOlderSetDoesNotCount)
 {
     HolderState holder(self, Timing {});
@@ -254,8 +254,8 @@
 
 TEST_GROUP(Voting) {};
 
-// A gateway promises a taker, dies, and starts again while the service is down. Its predecessor's promise is forgotten;
-// were it to vouch, the former holder would use a row that has moved.
+// A gateway promises a taker, dies, and restarts while the service is down, losing its promise. If it vouched, the
+// previous holder would use a row that has moved.
 TEST(Voting, AVoterThatHasNotReadTheMarksVouchesForNobody)
 {
     VoterState voter(InstanceId("x"), Timing {}, at({}));
@@ -266,8 +266,8 @@
     CHECK_TRUE(voter.vouchFor(InstanceId("b"), at(seconds(1))));
 }
 
-// A read of the service that began before the mark was written arrives after the promise. It does not undo the promise;
-// a read after the mark was lifted does.
+// A service read that began before the mark was written arrives after the promise and must not cancel it. A read after
+// the mark was deleted must.
 TEST(Voting, APromiseStandsUntilItsMarkIsKnownToBeLifted)
 {
     VoterState voter(InstanceId("x"), Timing {}, at({}));
@@ -283,8 +283,9 @@
     CHECK_TRUE(voter.vouchFor(InstanceId("a"), at(seconds(5))));
 }
 
-// The marks and the voterSets are read by two requests, and between them a mark is written and this gateway becomes a
-// voter. It does not know the mark; were its vote to count at once, it would vouch for the instance whose rows move.
+// Marks and voter sets are read by two requests, and between them a mark is written and this gateway becomes a voter.
+// If its vote counted at once, it would vouch for the instance whose rows are moving, because it does not know the
+// mark.
 TEST(Voting, VoterSetsNewerThanTheMarksAreLeftForTheNextRead)
 {
     VoterState voter(InstanceId("x"), Timing {}, at({}));
@@ -298,8 +299,8 @@
 
 TEST_GROUP(Absence) {};
 
-// The list's copies differ: one answer without the instance comes from a copy that has not seen it start. Without versions
-// only absence for longer than the lag says that it was dropped; an answer that shows it starts the time again.
+// An answer without the instance comes from a list replica that has not yet seen it start. Without versions, only
+// absence for longer than the lag proves that it was dropped, and an answer that shows it restarts that time.
 TEST(Absence, AStaleListAnswerDoesNotProveThatAnInstanceWasDropped)
 {
     FailureDetector detector(Timing {});
@@ -316,7 +317,7 @@
     CHECK_TRUE(detector.listHasDropped(instance));
 }
 
-// With versions an answer older than the one that showed the instance is left aside, however late it comes.
+// With versions, an answer older than the one that showed the instance is ignored, however late it arrives.
 TEST(Absence, AnOlderVersionIsIgnored)
 {
     FailureDetector detector(Timing {});
@@ -332,9 +333,9 @@
 
 TEST_GROUP(Electing) {};
 
-// All gateways are replaced within minutes. Were the sets simply swapped, a holder that is cut off with the former
-// gateways and a taker that asks the new ones would each have a majority.
-TEST(Electing, AFormerSetIsKeptUntilItsMajorityHasPromised)
+// All gateways are replaced within minutes. If the sets were simply swapped, a holder cut off with the previous
+// gateways and a taker asking the new ones would each have a majority.
+TEST(Electing, APreviousSetIsKeptUntilItsMajorityHasPromised)
 {
     VoterSets known = voterSetsOf(threeVoters);
     std::set<InstanceId> next { InstanceId("p"), InstanceId("q"), InstanceId("r") };
