--- a/packages/assignments/include/toucanstep/assignments/FailureDetector.h
+++ b/packages/assignments/include/toucanstep/assignments/FailureDetector.h
@@ -56,12 +56,12 @@
     void forget(const base::InstanceId&);
 
     // Applies one complete answer of the platform's list. Answers older than one already seen are ignored.
-    void onListAnswer(Exchange, base::Instant now, std::optional<uint64_t> version, const std::set<base::InstanceId>& shown);
+    void onListAnswer(RequestWindow, base::Instant now, std::optional<uint64_t> version, const std::set<base::InstanceId>& shown);
     void onVoterSets(const VoterSets&, base::Instant now);
     // Replaces the known marks with all marks read from the service at that revision.
     void onMarks(base::Revision, const std::vector<GoneMark>&);
     // Records a voter's reply to this node's query about `instance`.
-    void onVoterReply(Exchange, base::Instant now, const base::InstanceId& instance, const VoterReply&);
+    void onVoterReply(RequestWindow, base::Instant now, const base::InstanceId& instance, const VoterReply&);
 
     FailurePhase phase(const base::InstanceId&, base::Instant now) const;
     // The revision of the mark to query voters with; zero if there is no mark.
--- a/packages/assignments/include/toucanstep/assignments/HolderState.h
+++ b/packages/assignments/include/toucanstep/assignments/HolderState.h
@@ -1,6 +1,6 @@
 // Decides whether this process may use the rows it holds at a given instant.
 //
-//     holder.onServiceRead(exchange, now, revision, marked, voterSets);
+//     holder.onServiceRead(window, now, revision, marked, voterSets);
 //     if (holder.mayUse(row, clock.now())) ...
 //
 // Rows do not expire during an outage of the key-value service. A row is usable while the platform's list shows this
@@ -32,7 +32,7 @@
 };
 
 // When a request was sent, and the deadline after which its answer is ignored.
-struct Exchange {
+struct RequestWindow {
     base::Instant sentAt;
     base::Instant deadline;
 };
@@ -46,13 +46,13 @@
     // Applies a read of the rows, gone marks and voter sets that was answered at `now`. Apply the rows to the
     // AssignmentTable first. No row may be used before the first such read. `marked` says whether a gone mark for this
     // instance existed at that revision.
-    void onServiceRead(Exchange, base::Instant now, base::Revision, bool marked, const std::optional<VoterSets>&);
+    void onServiceRead(RequestWindow, base::Instant now, base::Revision, bool marked, const std::optional<VoterSets>&);
     // Applies an answer of the platform's list. `version` is its resource version, if it has one. Answers older than
     // one already seen are ignored.
-    void onListAnswer(Exchange, base::Instant now, std::optional<uint64_t> version, bool showsSelf);
+    void onListAnswer(RequestWindow, base::Instant now, std::optional<uint64_t> version, bool showsSelf);
     // Applies a gateway's answer to this process: under that generation it either vouches for this instance or
     // refuses.
-    void onVoterAnswer(Exchange, base::Instant now, const base::InstanceId& voter, Generation, bool vouches);
+    void onVoterAnswer(RequestWindow, base::Instant now, const base::InstanceId& voter, Generation, bool vouches);
     // Applies a newer voter set learned from a gateway.
     void onVoterSet(const VoterSet&);
 
--- a/packages/assignments/src/FailureDetector.cpp
+++ b/packages/assignments/src/FailureDetector.cpp
@@ -24,16 +24,16 @@
     m_watched.erase(instance);
 }
 
-void FailureDetector::onListAnswer(Exchange exchange, Instant now, std::optional<uint64_t> version, const std::set<base::InstanceId>& shown)
+void FailureDetector::onListAnswer(RequestWindow window, Instant now, std::optional<uint64_t> version, const std::set<base::InstanceId>& shown)
 {
-    if (now > exchange.deadline)
+    if (now > window.deadline)
         return;
-    bool older = version && m_newestVersion ? *version < *m_newestVersion : m_newestSentAt && exchange.sentAt < *m_newestSentAt;
+    bool older = version && m_newestVersion ? *version < *m_newestVersion : m_newestSentAt && window.sentAt < *m_newestSentAt;
     if (older)
         return;
     if (version)
         m_newestVersion = version;
-    m_newestSentAt = exchange.sentAt;
+    m_newestSentAt = window.sentAt;
     for (auto& [instance, watched] : m_watched) {
         if (shown.count(instance)) {
             watched.shown = true;
@@ -44,7 +44,7 @@
         }
         if (!watched.absentSince)
             watched.absentSince = now;
-        watched.absentAskedAt = exchange.sentAt;
+        watched.absentAskedAt = window.sentAt;
         // A later version without an instance that an earlier version showed proves that it was dropped, regardless of
         // the lag.
         watched.dropped = watched.dropped || (version && watched.shownVersion && *version > *watched.shownVersion);
@@ -74,10 +74,10 @@
     }
 }
 
-void FailureDetector::onVoterReply(Exchange exchange, Instant now, const base::InstanceId& instance, const VoterReply& reply)
+void FailureDetector::onVoterReply(RequestWindow window, Instant now, const base::InstanceId& instance, const VoterReply& reply)
 {
     auto found = m_watched.find(instance);
-    if (found == m_watched.end() || now > exchange.deadline)
+    if (found == m_watched.end() || now > window.deadline)
         return;
     auto& replies = found->second.replies;
     auto known = replies.find(reply.voter);
--- a/packages/assignments/src/HolderState.cpp
+++ b/packages/assignments/src/HolderState.cpp
@@ -14,14 +14,14 @@
 {
 }
 
-void HolderState::onServiceRead(Exchange exchange, Instant now, base::Revision revision, bool marked, const std::optional<VoterSets>& voterSets)
+void HolderState::onServiceRead(RequestWindow window, Instant now, base::Revision revision, bool marked, const std::optional<VoterSets>& voterSets)
 {
     // An answer past its deadline may have been delayed anywhere, so it proves nothing.
-    if (now > exchange.deadline || revision < m_markKnownAt)
+    if (now > window.deadline || revision < m_markKnownAt)
         return;
     m_markKnownAt = revision;
     m_marked = marked;
-    m_readSentAt = m_readSentAt ? std::max(*m_readSentAt, exchange.sentAt) : exchange.sentAt;
+    m_readSentAt = m_readSentAt ? std::max(*m_readSentAt, window.sentAt) : window.sentAt;
     if (voterSets)
         onVoterSet(voterSets->current);
     if (m_marked) {
@@ -30,37 +30,37 @@
         return;
     }
     m_hasRead = true;
-    endLapse(exchange.sentAt);
+    endLapse(window.sentAt);
 }
 
-void HolderState::onListAnswer(Exchange exchange, Instant now, std::optional<uint64_t> version, bool showsSelf)
+void HolderState::onListAnswer(RequestWindow window, Instant now, std::optional<uint64_t> version, bool showsSelf)
 {
-    if (now > exchange.deadline)
+    if (now > window.deadline)
         return;
-    bool older = version && m_listVersion ? *version < *m_listVersion : m_newestListAnswer && exchange.sentAt < *m_newestListAnswer;
+    bool older = version && m_listVersion ? *version < *m_listVersion : m_newestListAnswer && window.sentAt < *m_newestListAnswer;
     if (older)
         return;
     if (version)
         m_listVersion = version;
-    m_newestListAnswer = exchange.sentAt;
+    m_newestListAnswer = window.sentAt;
     if (!showsSelf)
         return;
     Instant continuous = continuousUntil();
-    m_listSentAt = exchange.sentAt;
+    m_listSentAt = window.sentAt;
     detectLapse(continuous);
 }
 
-void HolderState::onVoterAnswer(Exchange exchange, Instant now, const base::InstanceId& voter, Generation generation, bool vouches)
+void HolderState::onVoterAnswer(RequestWindow window, Instant now, const base::InstanceId& voter, Generation generation, bool vouches)
 {
     // A voter with a later set has promised not to vouch under this one. A voter with an earlier set may be missing
     // marks written before it became a member of this one.
-    bool counts = vouches && now <= exchange.deadline && generation == m_voterSet.generation && m_voterSet.members.count(voter);
+    bool counts = vouches && now <= window.deadline && generation == m_voterSet.generation && m_voterSet.members.count(voter);
     if (!counts)
         return;
     Instant continuous = continuousUntil();
-    auto [found, isNew] = m_vouchedAt.emplace(voter, exchange.sentAt);
+    auto [found, isNew] = m_vouchedAt.emplace(voter, window.sentAt);
     if (!isNew)
-        found->second = std::max(found->second, exchange.sentAt);
+        found->second = std::max(found->second, window.sentAt);
     detectLapse(continuous);
     if (auto evidence = voterEvidence())
         endLapse(*evidence);
--- a/packages/assignments/test/FleetModel.cpp
+++ b/packages/assignments/test/FleetModel.cpp
@@ -300,18 +300,18 @@
     };
     auto reading = std::make_shared<Reading>();
     for (auto part : { &Reading::marks, &Reading::rows }) {
-        read(process, [this, reading, part](Process& self, Exchange exchange, const base::RangeReply& reply) {
+        read(process, [this, reading, part](Process& self, RequestWindow window, const base::RangeReply& reply) {
             (*reading).*part = reply;
             if (reading->marks && reading->rows)
-                onServiceRead(self, exchange, *reading->marks, *reading->rows);
+                onServiceRead(self, window, *reading->marks, *reading->rows);
         });
     }
 }
 
-void Fleet::onServiceRead(Process& self, Exchange exchange, const base::RangeReply& marksReply, const base::RangeReply& reply)
+void Fleet::onServiceRead(Process& self, RequestWindow window, const base::RangeReply& marksReply, const base::RangeReply& reply)
 {
     Instant now = self.local(m_now);
-    if (now > exchange.deadline || reply.revision < self.read)
+    if (now > window.deadline || reply.revision < self.read)
         return;
     std::vector<GoneMark> marks;
     for (const auto& entry : marksReply.entries) {
@@ -336,7 +336,7 @@
     self.hasRead = true;
     self.table.applyRange(allRowsPrefix, rows);
     bool marked = std::any_of(marks.begin(), marks.end(), [&](const GoneMark& mark) { return mark.instance == self.instance(); });
-    self.holder->onServiceRead(exchange, now, marksReply.revision, marked, voterSets);
+    self.holder->onServiceRead(window, now, marksReply.revision, marked, voterSets);
     self.voter.onServiceRead(marksReply.revision, marks, voterSets);
     self.detector->onMarks(marksReply.revision, marks);
     if (voterSets)
@@ -361,7 +361,7 @@
 void Fleet::readList(Process& process)
 {
     Instant sentAt = process.local(m_now);
-    Exchange exchange { sentAt, sentAt + callTimeout };
+    RequestWindow window { sentAt, sentAt + callTimeout };
     // A process that is cut off from the list gets no answer and keeps the state it last saw.
     if (process.cutFromList || (m_options.lossyNetwork && chance(lossPercent)))
         return;
@@ -372,16 +372,16 @@
     Duration shownAt = m_now - process.lag;
     auto later = std::find_if(m_list.begin(), m_list.end(), [&](const ListState& state) { return state.since > shownAt; });
     ListState state = later == m_list.begin() ? m_list.front() : *std::prev(later);
-    deliver(sharedOf(process), m_now + networkDelay(), [this, exchange, state](Process& self) {
+    deliver(sharedOf(process), m_now + networkDelay(), [this, window, state](Process& self) {
         Instant now = self.local(m_now);
         auto version = m_options.versionedList ? std::optional<uint64_t>(state.version) : std::nullopt;
         bool shows = state.instances.count(self.instance()) > 0;
-        self.holder->onListAnswer(exchange, now, version, shows);
-        self.detector->onListAnswer(exchange, now, version, state.instances);
-        if (now > exchange.deadline)
+        self.holder->onListAnswer(window, now, version, shows);
+        self.detector->onListAnswer(window, now, version, state.instances);
+        if (now > window.deadline)
             return;
         if (shows)
-            self.voter.onListed(exchange.sentAt);
+            self.voter.onListed(window.sentAt);
         self.listed = state.instances;
     });
 }
@@ -409,7 +409,7 @@
 void Fleet::queryVoters(Process& process)
 {
     Instant sentAt = process.local(m_now);
-    Exchange exchange { sentAt, sentAt + callTimeout };
+    RequestWindow window { sentAt, sentAt + callTimeout };
     std::set<InstanceId> voters = process.voterSets.current.members;
     if (process.voterSets.previous)
         voters.insert(process.voterSets.previous->members.begin(), process.voterSets.previous->members.end());
@@ -420,22 +420,22 @@
             continue;
         std::weak_ptr<Process> asker = sharedOf(process);
         InstanceId instance = process.instance();
-        deliver(sharedOf(*target), m_now + networkDelay(), [this, asker, exchange, instance](Process& self) {
+        deliver(sharedOf(*target), m_now + networkDelay(), [this, asker, window, instance](Process& self) {
             bool vouches = self.voter.vouchFor(instance, self.local(m_now));
             VoterSet voterSet = self.voter.voterSet();
             InstanceId from = self.instance();
-            deliver(asker, m_now + networkDelay(), [this, exchange, vouches, voterSet, from](Process& holder) {
+            deliver(asker, m_now + networkDelay(), [this, window, vouches, voterSet, from](Process& holder) {
                 holder.holder->onVoterSet(voterSet);
-                holder.holder->onVoterAnswer(exchange, holder.local(m_now), from, voterSet.generation, vouches);
+                holder.holder->onVoterAnswer(window, holder.local(m_now), from, voterSet.generation, vouches);
                 holder.generations[from] = std::max(holder.generations[from], voterSet.generation);
             });
         });
         for (const auto& gone : absent) {
             base::Revision mark = process.detector->markRevisionOf(gone);
-            deliver(sharedOf(*target), m_now + networkDelay(), [this, asker, exchange, gone, mark](Process& self) {
+            deliver(sharedOf(*target), m_now + networkDelay(), [this, asker, window, gone, mark](Process& self) {
                 VoterReply reply = self.voter.onAbsenceQuery(gone, mark, self.local(m_now));
-                deliver(asker, m_now + networkDelay(), [this, exchange, gone, reply](Process& taker) {
-                    taker.detector->onVoterReply(exchange, taker.local(m_now), gone, reply);
+                deliver(asker, m_now + networkDelay(), [this, window, gone, reply](Process& taker) {
+                    taker.detector->onVoterReply(window, taker.local(m_now), gone, reply);
                 });
             });
         }
@@ -541,7 +541,7 @@
         MoveState state = self.mover.onOutcome(id, outcome);
         if (state == MoveState::NeedsRead) {
             // Reads the entry back to resolve the move; until then the table's own reads show the row.
-            read(self, [this, id, key, takesOver](Process& reader, Exchange, const base::RangeReply& reply) {
+            read(self, [this, id, key, takesOver](Process& reader, RequestWindow, const base::RangeReply& reply) {
                 MoveState settled = reader.mover.onRead(id, reply);
                 if (settled == MoveState::Committed && takesOver)
                     ++m_takeovers;
@@ -585,21 +585,21 @@
     });
 }
 
-void Fleet::read(Process& process, std::function<void(Process&, Exchange, const base::RangeReply&)> then)
+void Fleet::read(Process& process, std::function<void(Process&, RequestWindow, const base::RangeReply&)> then)
 {
     Instant sentAt = process.local(m_now);
-    Exchange exchange { sentAt, sentAt + callTimeout };
+    RequestWindow window { sentAt, sentAt + callTimeout };
     std::weak_ptr<Process> sender = sharedOf(process);
     ++m_reads;
     if (process.cutFromService || (m_options.lossyNetwork && chance(lossPercent)))
         return;
-    at(m_now + networkDelay(), [this, sender, exchange, then] {
+    at(m_now + networkDelay(), [this, sender, window, then] {
         if (m_outage)
             return;
         base::RangeReply reply { {}, base::Revision(m_revision) };
         for (const auto& [key, entry] : m_store)
             reply.entries.push_back(entry);
-        deliver(sender, m_now + networkDelay(), [exchange, then, reply](Process& self) { then(self, exchange, reply); });
+        deliver(sender, m_now + networkDelay(), [window, then, reply](Process& self) { then(self, window, reply); });
     });
 }
 
--- a/packages/assignments/test/FleetModel.h
+++ b/packages/assignments/test/FleetModel.h
@@ -135,7 +135,7 @@
     void tick();
     void onHeartbeat(Process&);
     void readService(Process&);
-    void onServiceRead(Process&, Exchange, const base::RangeReply& marks, const base::RangeReply& rows);
+    void onServiceRead(Process&, RequestWindow, const base::RangeReply& marks, const base::RangeReply& rows);
     void learnVoterSets(Process&, const VoterSets&);
     void readList(Process&);
     void queryVoters(Process&);
@@ -144,7 +144,7 @@
     void renewLease(Process&);
     void send(Process&, const Move&, bool takesOver);
     void commit(Process&, const base::Transaction&, std::function<void(Process&, const base::Outcome<base::TransactionReply>&)>);
-    void read(Process&, std::function<void(Process&, Exchange, const base::RangeReply&)>);
+    void read(Process&, std::function<void(Process&, RequestWindow, const base::RangeReply&)>);
     base::TransactionReply apply(const base::Transaction&);
     std::vector<std::shared_ptr<Process>> usersOf(size_t row) const;
     void checkExclusiveUse();
--- a/packages/assignments/test/UnitTest.cpp
+++ b/packages/assignments/test/UnitTest.cpp
@@ -22,7 +22,7 @@
     return Instant(std::chrono::hours(1) + time);
 }
 
-Exchange sentAt(Duration time)
+RequestWindow sentAt(Duration time)
 {
     return { at(time), at(time + seconds(1)) };
 }
--- a/packages/node/src/AssignmentAgent.cpp
+++ b/packages/node/src/AssignmentAgent.cpp
@@ -269,7 +269,7 @@
 void AssignmentAgent::onListing(const ListingAnswer& answer)
 {
     base::Instant now = m_node.control().now();
-    Exchange exchange { answer.sentAt, answer.sentAt + m_node.options().storeTimeout };
+    RequestWindow exchange { answer.sentAt, answer.sentAt + m_node.options().storeTimeout };
     std::set<base::InstanceId> shown;
     for (const formats::ListedInstance& listed : answer.listing.instances)
         shown.insert(listed.instance);
@@ -304,7 +304,7 @@
     m_nextVouch = now + m_options.vouchInterval;
     auto instances = m_node.instances();
     for (const base::InstanceId& voter : m_electorates.current.members) {
-        Exchange exchange { now, now + peerTimeout };
+        RequestWindow exchange { now, now + peerTimeout };
         if (voter == m_self.instance) {
             m_holder.onVoterAnswer(exchange, now, voter, m_voter.generation(), m_voter.vouchFor(m_self.instance, now));
             continue;
@@ -387,7 +387,7 @@
         for (const base::InstanceId& absent : tracker.instancesToQuery(now)) {
             base::Revision mark = tracker.markRevisionOf(absent);
             for (const base::InstanceId& voter : knownVoters()) {
-                Exchange exchange { now, now + peerTimeout };
+                RequestWindow exchange { now, now + peerTimeout };
                 if (voter == m_self.instance) {
                     tracker.onVoterReply(exchange, now, absent, m_voter.onAbsenceQuery(absent, mark, now));
                     continue;
