--- a/packages/assignments/include/toucanstep/assignments/HolderState.h
+++ b/packages/assignments/include/toucanstep/assignments/HolderState.h
@@ -67,7 +67,7 @@
     // The instant at which use ends unless a newer proof arrives; Instant::min() while use is not allowed.
     base::Instant usableUntil() const;
     // Whether a gone mark for this instance exists.
-    bool markedGone() const { return m_marked; }
+    bool isMarkedGone() const { return m_marked; }
     bool hasReadService() const { return m_hasRead; }
     // Whether the rows have been read and no mark exists, but use is not allowed because the proof of liveness is
     // missing or too old, or a lapse has not been cleared.
--- a/packages/node/src/AssignmentAgent.cpp
+++ b/packages/node/src/AssignmentAgent.cpp
@@ -521,7 +521,7 @@
 
 void AssignmentAgent::adoptOwnRows()
 {
-    if (!m_hasRead || m_holder.markedGone())
+    if (!m_hasRead || m_holder.isMarkedGone())
         return;
     for (const Row& row : m_rowsHere) {
         bool adopted = row.holder.start == m_self.start;
