--- a/packages/assignments/include/toucanstep/assignments/Mover.h
+++ b/packages/assignments/include/toucanstep/assignments/Mover.h
@@ -80,7 +80,7 @@
     MoveState onRead(MoveId, const base::RangeReply&);
     MoveState state(MoveId) const;
     // The row written by the move, once it is Committed. Empty for releases and marks.
-    std::optional<Row> written(MoveId) const;
+    std::optional<Row> writtenRow(MoveId) const;
     void forget(MoveId);
     size_t unfinishedCount() const;
 
--- a/packages/assignments/src/Mover.cpp
+++ b/packages/assignments/src/Mover.cpp
@@ -183,7 +183,7 @@
     return found == m_pending.end() ? MoveState::Failed : found->second.state;
 }
 
-std::optional<Row> Mover::written(MoveId id) const
+std::optional<Row> Mover::writtenRow(MoveId id) const
 {
     auto found = m_pending.find(id);
     if (found == m_pending.end() || found->second.state != MoveState::Committed || !found->second.row)
--- a/packages/assignments/test/FleetModel.cpp
+++ b/packages/assignments/test/FleetModel.cpp
@@ -545,13 +545,13 @@
                 MoveState settled = reader.mover.onRead(id, reply);
                 if (settled == MoveState::Committed && takesOver)
                     ++m_takeovers;
-                if (auto written = reader.mover.written(id))
+                if (auto written = reader.mover.writtenRow(id))
                     reader.table.applyWrite(*written);
             });
         }
         if (state == MoveState::Committed && takesOver)
             ++m_takeovers;
-        if (auto written = self.mover.written(id))
+        if (auto written = self.mover.writtenRow(id))
             self.table.applyWrite(*written);
         if (key)
             self.moving.erase(*key);
--- a/packages/assignments/test/UnitTest.cpp
+++ b/packages/assignments/test/UnitTest.cpp
@@ -122,8 +122,8 @@
     CHECK_TRUE(mover.onOutcome(move.id, Error { ErrorKind::Timeout, "" }) == MoveState::NeedsRead);
     const auto& put = std::get<PutOperation>(move.transaction.operations[0]);
     CHECK_TRUE(mover.onRead(move.id, RangeReply { { { put.key, put.value, Revision(6), Revision(6) } }, Revision(8) }) == MoveState::Committed);
-    CHECK_EQUAL(6, mover.written(move.id)->modified.value());
-    CHECK_EQUAL(6, mover.written(move.id)->epoch.value());
+    CHECK_EQUAL(6, mover.writtenRow(move.id)->modified.value());
+    CHECK_EQUAL(6, mover.writtenRow(move.id)->epoch.value());
 }
 
 // The read after a lost answer overtakes the transaction: it shows no row, a second claim is sent, and then the first
--- a/packages/node/src/AssignmentAgent.cpp
+++ b/packages/node/src/AssignmentAgent.cpp
@@ -622,7 +622,7 @@
     PendingMove pending = std::move(found->second);
     m_moves.erase(found);
     m_keysMoving.erase(pending.move.key);
-    if (auto row = m_mover.written(id); row && state == MoveState::Committed)
+    if (auto row = m_mover.writtenRow(id); row && state == MoveState::Committed)
         m_table.applyWrite(*row);
     m_mover.forget(id);
     publish();
