--- a/packages/assignments/include/toucanstep/assignments/LeaseExpiry.h
+++ b/packages/assignments/include/toucanstep/assignments/LeaseExpiry.h
@@ -32,14 +32,14 @@
     bool mayTakeOver(const Row&, base::Instant now) const override;
 
 private:
-    struct Seen {
+    struct LeaseObservation {
         uint64_t renewals = 0;
         base::Instant since;
     };
 
     base::Duration m_timeToLive;
     base::Duration m_margin;
-    std::map<base::InstanceId, Seen> m_seen;
+    std::map<base::InstanceId, LeaseObservation> m_seen;
 };
 
 } // namespace toucanstep::assignments
--- a/packages/assignments/include/toucanstep/assignments/Mover.h
+++ b/packages/assignments/include/toucanstep/assignments/Mover.h
@@ -96,7 +96,7 @@
         base::Revision committed;
     };
 
-    Move begin(MoveKind, std::string key, base::Revision compared, std::optional<Row>, WriteNonce, base::Transaction);
+    Move addPending(MoveKind, std::string key, base::Revision compared, std::optional<Row>, WriteNonce, base::Transaction);
     Move write(MoveKind, Row, base::Revision compared, const std::vector<base::Comparison>& conditions);
     static bool isWrittenBy(const Pending&, const base::KeyValue&);
     WriteNonce nextNonce();
--- a/packages/assignments/src/LeaseExpiry.cpp
+++ b/packages/assignments/src/LeaseExpiry.cpp
@@ -30,9 +30,9 @@
 
 void LeaseTakeoverPolicy::onLeaseSeen(const base::InstanceId& instance, uint64_t renewals, Instant now)
 {
-    auto [found, isNew] = m_seen.emplace(instance, Seen { renewals, now });
+    auto [found, isNew] = m_seen.emplace(instance, LeaseObservation { renewals, now });
     if (!isNew && renewals > found->second.renewals)
-        found->second = Seen { renewals, now };
+        found->second = LeaseObservation { renewals, now };
 }
 
 bool LeaseTakeoverPolicy::mayTakeOver(const Row& row, Instant now) const
--- a/packages/assignments/src/Mover.cpp
+++ b/packages/assignments/src/Mover.cpp
@@ -43,7 +43,7 @@
     return WriteNonce(base::concat(m_self.instance, "/", m_self.start, "/", m_counter));
 }
 
-Move Mover::begin(MoveKind kind, std::string key, base::Revision compared, std::optional<Row> row, WriteNonce nonce, base::Transaction transaction)
+Move Mover::addPending(MoveKind kind, std::string key, base::Revision compared, std::optional<Row> row, WriteNonce nonce, base::Transaction transaction)
 {
     MoveId id(m_counter);
     m_pending.emplace(id, Pending { kind, key, compared, std::move(row), std::move(nonce), MoveState::Sent });
@@ -57,7 +57,7 @@
     transaction.comparisons.insert(transaction.comparisons.end(), conditions.begin(), conditions.end());
     std::string key = storageKey(row.key);
     WriteNonce nonce = row.writer;
-    return begin(kind, std::move(key), compared, std::move(row), std::move(nonce), std::move(transaction));
+    return addPending(kind, std::move(key), compared, std::move(row), std::move(nonce), std::move(transaction));
 }
 
 Move Mover::claim(const RowKey& key, std::string payload, base::Revision read)
@@ -102,7 +102,7 @@
     base::Transaction transaction;
     transaction.comparisons.push_back({ key, row.modified });
     transaction.operations.push_back(base::DeleteOperation { key });
-    return begin(MoveKind::Release, key, row.modified, std::nullopt, nextNonce(), std::move(transaction));
+    return addPending(MoveKind::Release, key, row.modified, std::nullopt, nextNonce(), std::move(transaction));
 }
 
 Move Mover::markGone(const base::InstanceId& instance)
@@ -112,7 +112,7 @@
     base::Transaction transaction;
     transaction.comparisons.push_back({ key, base::Revision() });
     transaction.operations.push_back(base::PutOperation { key, nonce.value(), std::nullopt });
-    return begin(MoveKind::MarkGone, key, base::Revision(), std::nullopt, nonce, std::move(transaction));
+    return addPending(MoveKind::MarkGone, key, base::Revision(), std::nullopt, nonce, std::move(transaction));
 }
 
 Move Mover::liftMark(const GoneMark& mark)
@@ -121,7 +121,7 @@
     base::Transaction transaction;
     transaction.comparisons.push_back({ key, mark.modified });
     transaction.operations.push_back(base::DeleteOperation { key });
-    return begin(MoveKind::LiftMark, key, mark.modified, std::nullopt, nextNonce(), std::move(transaction));
+    return addPending(MoveKind::LiftMark, key, mark.modified, std::nullopt, nextNonce(), std::move(transaction));
 }
 
 MoveState Mover::onOutcome(MoveId id, const base::Outcome<base::TransactionReply>& outcome)
--- a/packages/assignments/test/FleetModel.cpp
+++ b/packages/assignments/test/FleetModel.cpp
@@ -177,16 +177,16 @@
         break;
     }
     checkExclusiveUse();
-    run(command.then);
+    run(command.runFor);
 }
 
 // The list drops the slot's instance and shows a new one; the previous process keeps running.
 void Fleet::replace(size_t slot)
 {
-    InstanceId former = m_instanceOf[slot];
+    InstanceId previous = m_instanceOf[slot];
     InstanceId next("i" + std::to_string(++m_instances));
     changeList([&](std::set<InstanceId>& instances) {
-        instances.erase(former);
+        instances.erase(previous);
         instances.insert(next);
     });
     if (m_slots[slot]) {
@@ -223,24 +223,24 @@
         tick();
 }
 
-void Fleet::at(Duration when, std::function<void()> act)
+void Fleet::at(Duration when, std::function<void()> callback)
 {
-    m_events.push({ when, ++m_order, std::move(act) });
+    m_events.push({ when, ++m_order, std::move(callback) });
 }
 
-void Fleet::deliver(const std::weak_ptr<Process>& target, Duration when, std::function<void(Process&)> act)
+void Fleet::deliver(const std::weak_ptr<Process>& target, Duration when, std::function<void(Process&)> callback)
 {
     // Occasionally delivers a message twice.
     if (m_options.lossyNetwork && chance(duplicatePercent))
-        at(when + networkDelay(), [this, target, act, when] { deliver(target, when, act); });
-    at(when, [target, act = std::move(act)] {
+        at(when + networkDelay(), [this, target, callback, when] { deliver(target, when, callback); });
+    at(when, [target, callback = std::move(callback)] {
         auto process = target.lock();
         if (!process)
             return;
         if (process->paused)
-            process->inbox.push_back(act);
+            process->inbox.push_back(callback);
         else
-            act(*process);
+            callback(*process);
     });
 }
 
@@ -248,9 +248,9 @@
 {
     m_now += tickInterval;
     while (!m_events.empty() && m_events.top().at <= m_now) {
-        auto act = m_events.top().act;
+        auto callback = m_events.top().callback;
         m_events.pop();
-        act();
+        callback();
     }
     bool ended = std::any_of(m_dropped.begin(), m_dropped.end(), [&](const auto& process) { return m_now >= process->stopsAt; });
     if (ended) {
@@ -265,8 +265,8 @@
             continue;
         auto inbox = std::move(process->inbox);
         process->inbox.clear();
-        for (auto& act : inbox)
-            act(*process);
+        for (auto& callback : inbox)
+            callback(*process);
         if (m_now >= process->nextHeartbeat)
             onHeartbeat(*process);
     }
@@ -372,7 +372,7 @@
     Duration shownAt = m_now - process.lag;
     auto later = std::find_if(m_list.begin(), m_list.end(), [&](const ListState& state) { return state.since > shownAt; });
     ListState state = later == m_list.begin() ? m_list.front() : *std::prev(later);
-    deliver(sharedOf(process), m_now + networkDelay(), [this, window, state](Process& self) {
+    deliver(sharedPointerTo(process), m_now + networkDelay(), [this, window, state](Process& self) {
         Instant now = self.local(m_now);
         auto version = m_options.versionedList ? std::optional<uint64_t>(state.version) : std::nullopt;
         bool shows = state.instances.count(self.instance()) > 0;
@@ -397,7 +397,7 @@
     return nullptr;
 }
 
-std::shared_ptr<Fleet::Process> Fleet::sharedOf(const Process& process) const
+std::shared_ptr<Fleet::Process> Fleet::sharedPointerTo(const Process& process) const
 {
     for (const auto& candidate : m_alive) {
         if (candidate.get() == &process)
@@ -418,9 +418,9 @@
         Process* target = findReachable(process, voter);
         if (!target || (m_options.lossyNetwork && chance(lossPercent)))
             continue;
-        std::weak_ptr<Process> asker = sharedOf(process);
+        std::weak_ptr<Process> asker = sharedPointerTo(process);
         InstanceId instance = process.instance();
-        deliver(sharedOf(*target), m_now + networkDelay(), [this, asker, window, instance](Process& self) {
+        deliver(sharedPointerTo(*target), m_now + networkDelay(), [this, asker, window, instance](Process& self) {
             bool vouches = self.voter.vouchFor(instance, self.local(m_now));
             VoterSet voterSet = self.voter.voterSet();
             InstanceId from = self.instance();
@@ -432,7 +432,7 @@
         });
         for (const auto& gone : absent) {
             base::Revision mark = process.detector->markRevisionOf(gone);
-            deliver(sharedOf(*target), m_now + networkDelay(), [this, asker, window, gone, mark](Process& self) {
+            deliver(sharedPointerTo(*target), m_now + networkDelay(), [this, asker, window, gone, mark](Process& self) {
                 VoterReply reply = self.voter.onAbsenceQuery(gone, mark, self.local(m_now));
                 deliver(asker, m_now + networkDelay(), [this, window, gone, reply](Process& taker) {
                     taker.detector->onVoterReply(window, taker.local(m_now), gone, reply);
@@ -560,7 +560,7 @@
 
 void Fleet::commit(Process& process, const base::Transaction& transaction, std::function<void(Process&, const base::Outcome<base::TransactionReply>&)> then)
 {
-    std::weak_ptr<Process> sender = sharedOf(process);
+    std::weak_ptr<Process> sender = sharedPointerTo(process);
     auto settled = std::make_shared<bool>(false);
     ++m_writes;
     deliver(sender, m_now + callTimeout, [settled, then](Process& self) {
@@ -589,7 +589,7 @@
 {
     Instant sentAt = process.local(m_now);
     RequestWindow window { sentAt, sentAt + callTimeout };
-    std::weak_ptr<Process> sender = sharedOf(process);
+    std::weak_ptr<Process> sender = sharedPointerTo(process);
     ++m_reads;
     if (process.cutFromService || (m_options.lossyNetwork && chance(lossPercent)))
         return;
--- a/packages/assignments/test/FleetModel.h
+++ b/packages/assignments/test/FleetModel.h
@@ -83,7 +83,7 @@
     FleetAction action = FleetAction::Run;
     size_t slot = 0;
     // How long to run the fleet after the action.
-    base::Duration then {};
+    base::Duration runFor {};
 };
 
 class Fleet {
@@ -113,7 +113,7 @@
     struct Event {
         base::Duration at;
         uint64_t order;
-        std::function<void()> act;
+        std::function<void()> callback;
         bool operator<(const Event& other) const { return std::tie(at, order) > std::tie(other.at, other.order); }
     };
     struct ListState {
@@ -123,7 +123,7 @@
     };
 
     Process& start(size_t slot, const base::InstanceId&);
-    std::shared_ptr<Process> sharedOf(const Process&) const;
+    std::shared_ptr<Process> sharedPointerTo(const Process&) const;
     Process* findReachable(const Process& from, const base::InstanceId&);
     void replace(size_t slot);
     void releaseOrHandOver(Process&, bool release);
--- a/packages/assignments/test/HistoryTest.cpp
+++ b/packages/assignments/test/HistoryTest.cpp
@@ -32,7 +32,7 @@
 {
     stream << "seed " << history.seed << " versioned " << history.versionedList << ":";
     for (const auto& command : history.commands)
-        stream << " {" << static_cast<int>(command.action) << ", " << command.slot << ", " << toucanstep::base::toMilliseconds(command.then) << "}";
+        stream << " {" << static_cast<int>(command.action) << ", " << command.slot << ", " << toucanstep::base::toMilliseconds(command.runFor) << "}";
     return stream;
 }
 
@@ -107,7 +107,7 @@
     return rc::gen::construct<History>(commands, rc::gen::inRange<uint64_t>(1, 1'000'000), rc::gen::arbitrary<bool>());
 }
 
-rc::Gen<Commands> anyPart()
+rc::Gen<Commands> anyCommands()
 {
     return rc::gen::weightedOneOf<Commands>({ { 8, anyCommand() }, { 1, droppedProcess() }, { 1, droppedWithStoreAccessOnly() }, { 1, restartAfterRelease() }, { 1, releaseWhileCut() } });
 }
@@ -231,7 +231,7 @@
 {
     int takeovers = 0;
     CHECK_PROPERTY_WITH((PropertyOptions { .seed = 20261202, .maxSuccess = 300, .maxSize = 60 }), [&] {
-        auto history = *historiesOf(anyPart());
+        auto history = *historiesOf(anyCommands());
         auto violation = runHistory(history, nullptr, &takeovers);
         if (!violation.empty())
             RC_FAIL(violation);
@@ -272,5 +272,5 @@
 
 TEST(Histories, AFaultWhereOneAnswerOfTheListIsEnoughIsFound)
 {
-    CHECK_FALSE(findViolation(WithDetector<TrustsOneAnswer>(), anyPart()).empty());
+    CHECK_FALSE(findViolation(WithDetector<TrustsOneAnswer>(), anyCommands()).empty());
 }
--- a/packages/assignments/test/UnitTest.cpp
+++ b/packages/assignments/test/UnitTest.cpp
@@ -69,11 +69,11 @@
     CHECK_FALSE(valueOr(error, [&] { return decodeRow(KeyValue { storageKey(share), std::string(1'000'000, '\x91'), {}, {} }); }).has_value());
 }
 
-TEST_GROUP(Tables) {};
+TEST_GROUP(AssignmentTables) {};
 
 // Watch events and reads arrive out of order and some twice, over connections of different age. In any order, the
 // table must end with the newest state: if an older row came back, its holder might use it.
-TEST(Tables, OlderAnswersNeverReplaceNewerOnes)
+TEST(AssignmentTables, OlderAnswersNeverReplaceNewerOnes)
 {
     CHECK_PROPERTY([] {
         struct Change {
@@ -111,11 +111,11 @@
     });
 }
 
-TEST_GROUP(Moving) {};
+TEST_GROUP(Movers) {};
 
 // The answer to a claim is lost, so its outcome is unknown. Claiming again blindly would leave two views of the
 // writer; reading the row back resolves the outcome by its nonce.
-TEST(Moving, ALostAnswerIsResolvedByTheNonce)
+TEST(Movers, ALostAnswerIsResolvedByTheNonce)
 {
     Mover mover(self);
     Move move = mover.claim(share, "", Revision(5));
@@ -128,7 +128,7 @@
 
 // The read after a lost answer overtakes the transaction: it shows no row, a second claim is sent, and then the first
 // takes effect. Both compare the same revision, so one fails and the row has one holder.
-TEST(Moving, AReadThatOvertakesTheTransactionLeavesItInDoubt)
+TEST(Movers, AReadThatOvertakesTheTransactionLeavesItInDoubt)
 {
     Mover mover(self);
     Move first = mover.claim(share, "", Revision(5));
@@ -143,7 +143,7 @@
 
 // The answer to a release is lost and a read still shows the row. If the row were used again, the late release would
 // delete it while in use. It stays relinquished until a new revision names this process.
-TEST(Moving, AReleasedRowIsNotUsedAgainAtTheSameRevision)
+TEST(Movers, AReleasedRowIsNotUsedAgainAtTheSameRevision)
 {
     HolderState holder(self, Timing {});
     Mover mover(self);
@@ -161,11 +161,11 @@
     CHECK_TRUE(holder.mayUse(row, at(seconds(1))));
 }
 
-TEST_GROUP(Holding) {};
+TEST_GROUP(HolderStates) {};
 
 // A list answer arrives after its deadline, for example because the process was paused. It shows an old state and must
 // not extend the use of rows.
-TEST(Holding, AnAnswerAfterItsDeadlineIsIgnored)
+TEST(HolderStates, AnAnswerAfterItsDeadlineIsIgnored)
 {
     HolderState holder(self, Timing {});
     Row row { share, self, Epoch(4), WriteNonce("n"), "", Revision(4) };
@@ -179,7 +179,7 @@
 
 // A holder is dropped and marked, its row is taken over, the list shows it again by mistake, and the mark is deleted,
 // all while the holder is paused. The next list answer alone must not restore use of a row that has moved.
-TEST(Holding, AfterAGapTheListAloneDoesNotRestoreUse)
+TEST(HolderStates, AfterAGapTheListAloneDoesNotRestoreUse)
 {
     HolderState holder(self, Timing {});
     Row row { share, self, Epoch(4), WriteNonce("n"), "", Revision(4) };
@@ -198,7 +198,7 @@
 
 // A gone mark exists for an instance that the list shows again. The process stops, may delete the mark itself, and
 // uses its rows only after reading them without the mark.
-TEST(Holding, AMarkedHolderStopsUntilItHasReadThatTheMarkIsLifted)
+TEST(HolderStates, AMarkedHolderStopsUntilItHasReadThatTheMarkIsLifted)
 {
     HolderState holder(self, Timing {});
     Row row { share, self, Epoch(4), WriteNonce("n"), "", Revision(4) };
@@ -216,7 +216,7 @@
 
 // Two of three voters vouch, one of them under a newer set than the holder knows. That voter has promised to stop
 // vouching under the holder's set, so the two are not a majority.
-TEST(Holding, AVoterOfANewerSetDoesNotCountForThePreviousSet)
+TEST(HolderStates, AVoterOfANewerSetDoesNotCountForThePreviousSet)
 {
     HolderState holder(self, Timing {});
     Row row { share, self, Epoch(4), WriteNonce("n"), "", Revision(4) };
@@ -230,7 +230,7 @@
 
 // A holder's rows have moved under promises of the previous voters. It learns the new set from a gateway and asks a
 // new member that has not read the service since joining and so does not know the mark. That vote must not count.
-TEST(Holding, AVoterWithAnOlderSetDoesNotCount)
+TEST(HolderStates, AVoterWithAnOlderSetDoesNotCount)
 {
     HolderState holder(self, Timing {});
     Row row { share, self, Epoch(4), WriteNonce("n"), "", Revision(4) };
@@ -244,7 +244,7 @@
     CHECK_TRUE(holder.mayUse(row, at({})));
 }
 
-TEST(Holding, TheDefaultTimesLeaveRoomForDrift)
+TEST(HolderStates, TheDefaultTimesLeaveRoomForDrift)
 {
     Timing timing;
     CHECK_TRUE(isSafe(timing));
@@ -252,11 +252,11 @@
     CHECK_FALSE(isSafe(timing));
 }
 
-TEST_GROUP(Voting) {};
+TEST_GROUP(VoterStates) {};
 
 // A gateway promises a taker, dies, and restarts while the service is down, losing its promise. If it vouched, the
 // previous holder would use a row that has moved.
-TEST(Voting, AVoterThatHasNotReadTheMarksVouchesForNobody)
+TEST(VoterStates, AVoterThatHasNotReadTheMarksVouchesForNobody)
 {
     VoterState voter(InstanceId("x"), Timing {}, at({}));
     voter.onListed(at({}));
@@ -268,7 +268,7 @@
 
 // A service read that began before the mark was written arrives after the promise and must not cancel it. A read after
 // the mark was deleted must.
-TEST(Voting, APromiseStandsUntilItsMarkIsKnownToBeLifted)
+TEST(VoterStates, APromiseStandsUntilItsMarkIsKnownToBeLifted)
 {
     VoterState voter(InstanceId("x"), Timing {}, at({}));
     voter.onListed(at({}));
@@ -286,7 +286,7 @@
 // Marks and voter sets are read by two requests, and between them a mark is written and this gateway becomes a voter.
 // If its vote counted at once, it would vouch for the instance whose rows are moving, because it does not know the
 // mark.
-TEST(Voting, VoterSetsNewerThanTheMarksAreLeftForTheNextRead)
+TEST(VoterStates, VoterSetsNewerThanTheMarksAreLeftForTheNextRead)
 {
     VoterState voter(InstanceId("x"), Timing {}, at({}));
     voter.onListed(at({}));
@@ -297,11 +297,11 @@
     CHECK_TRUE(voter.generation() == Generation(1));
 }
 
-TEST_GROUP(Absence) {};
+TEST_GROUP(FailureDetectors) {};
 
 // An answer without the instance comes from a list replica that has not yet seen it start. Without versions, only
 // absence for longer than the lag proves that it was dropped, and an answer that shows it restarts that time.
-TEST(Absence, AStaleListAnswerDoesNotProveThatAnInstanceWasDropped)
+TEST(FailureDetectors, AStaleListAnswerDoesNotProveThatAnInstanceWasDropped)
 {
     FailureDetector detector(Timing {});
     InstanceId instance("a");
@@ -318,7 +318,7 @@
 }
 
 // With versions, an answer older than the one that showed the instance is ignored, however late it arrives.
-TEST(Absence, AnOlderVersionIsIgnored)
+TEST(FailureDetectors, AnOlderVersionIsIgnored)
 {
     FailureDetector detector(Timing {});
     InstanceId instance("a");
@@ -331,11 +331,11 @@
     CHECK_TRUE(detector.phase(instance, at(seconds(2))) == FailurePhase::Absent);
 }
 
-TEST_GROUP(Electing) {};
+TEST_GROUP(VoterSetChanges) {};
 
 // All gateways are replaced within minutes. If the sets were simply swapped, a holder cut off with the previous
 // gateways and a taker asking the new ones would each have a majority.
-TEST(Electing, APreviousSetIsKeptUntilItsMajorityHasPromised)
+TEST(VoterSetChanges, APreviousSetIsKeptUntilItsMajorityHasPromised)
 {
     VoterSets known = voterSetsOf(threeVoters);
     std::set<InstanceId> next { InstanceId("p"), InstanceId("q"), InstanceId("r") };
