--- a/packages/assignments/test/FleetModel.cpp
+++ b/packages/assignments/test/FleetModel.cpp
@@ -29,11 +29,11 @@
 }
 
 struct Fleet::Process {
-    Process(size_t slotIndex, const Holder& self, const FleetOptions& options, const ComponentFactory& parts, int64_t clockDrift, Duration startedAt)
+    Process(size_t slotIndex, const Holder& self, const FleetOptions& options, const ComponentFactory& components, int64_t clockDrift, Duration startedAt)
         : slot(slotIndex)
         , drift(clockDrift)
-        , holder(parts.makeHolder(self, options.timing))
-        , detector(parts.makeDetector(options.timing))
+        , holder(components.makeHolder(self, options.timing))
+        , detector(components.makeDetector(options.timing))
         , mover(self)
         , voter(self.instance, options.timing, local(startedAt))
         , leaseUsePolicy(self, options.leaseTimeToLive)
@@ -91,11 +91,11 @@
 
 Fleet::Process& Fleet::start(size_t slot, const InstanceId& instance)
 {
-    const ComponentFactory& parts = m_options.parts ? *m_options.parts : m_defaultComponents;
+    const ComponentFactory& components = m_options.components ? *m_options.components : m_defaultComponents;
     int64_t bound = m_options.timing.driftPartsPerMillion;
     int64_t drift = static_cast<int64_t>(randomIndex(static_cast<size_t>(2 * bound + 1))) - bound;
     Holder self { instance, StartNonce("s" + std::to_string(++m_starts)) };
-    m_slots[slot] = std::make_shared<Process>(slot, self, m_options, parts, drift, m_now);
+    m_slots[slot] = std::make_shared<Process>(slot, self, m_options, components, drift, m_now);
     m_slots[slot]->nextHeartbeat = m_now;
     refreshAlive();
     m_instanceOf[slot] = instance;
@@ -459,8 +459,8 @@
             continue;
         }
         bool own = row->holder.instance == process.instance();
-        const ComponentFactory& parts = m_options.parts ? *m_options.parts : m_defaultComponents;
-        if (own && row->holder.start != process.holder->self().start && parts.adoptsRows())
+        const ComponentFactory& components = m_options.components ? *m_options.components : m_defaultComponents;
+        if (own && row->holder.start != process.holder->self().start && components.adoptsRows())
             send(process, process.mover.adopt(*row, process.read), false);
         if (own || !chance(50))
             continue;
--- a/packages/assignments/test/FleetModel.h
+++ b/packages/assignments/test/FleetModel.h
@@ -50,7 +50,7 @@
     OwnershipProtocol rule = OwnershipProtocol::ListAndVoters;
     base::Duration leaseTimeToLive = std::chrono::seconds(10);
     uint64_t seed = 1;
-    const ComponentFactory* parts = nullptr;
+    const ComponentFactory* components = nullptr;
 };
 
 enum class FleetAction {
--- a/packages/assignments/test/HistoryTest.cpp
+++ b/packages/assignments/test/HistoryTest.cpp
@@ -112,20 +112,20 @@
     return rc::gen::weightedOneOf<Commands>({ { 8, anyCommand() }, { 1, droppedProcess() }, { 1, droppedWithStoreAccessOnly() }, { 1, restartAfterRelease() }, { 1, releaseWhileCut() } });
 }
 
-FleetOptions optionsOf(const History& history, const ComponentFactory* parts)
+FleetOptions optionsOf(const History& history, const ComponentFactory* components)
 {
     FleetOptions options;
     options.timing = driftingTiming();
     options.seed = history.seed;
     options.versionedList = history.versionedList;
-    options.parts = parts;
+    options.components = components;
     return options;
 }
 
 // Runs the history and returns its violation, or an empty string.
-std::string runHistory(const History& history, const ComponentFactory* parts, int* takeovers = nullptr)
+std::string runHistory(const History& history, const ComponentFactory* components, int* takeovers = nullptr)
 {
-    Fleet fleet(optionsOf(history, parts));
+    Fleet fleet(optionsOf(history, components));
     fleet.run(seconds(10));
     for (const auto& command : history.commands)
         fleet.perform(command);
@@ -136,11 +136,11 @@
 }
 
 // Searches for a violation caused by a fault, in histories built from the given commands.
-std::string findViolation(const ComponentFactory& parts, const rc::Gen<Commands>& part)
+std::string findViolation(const ComponentFactory& components, const rc::Gen<Commands>& part)
 {
     return counterexample(PropertyOptions { .seed = 5, .maxSuccess = 400, .maxSize = 20 }, [&] {
         auto history = *rc::gen::noShrink(historiesOf(part));
-        RC_ASSERT(runHistory(history, &parts).empty());
+        RC_ASSERT(runHistory(history, &components).empty());
     });
 }
 
