--- a/packages/assignments/test/FleetModel.cpp
+++ b/packages/assignments/test/FleetModel.cpp
@@ -281,13 +281,13 @@
 void Fleet::onHeartbeat(Process& process)
 {
     process.nextHeartbeat = m_now + heartbeatInterval;
-    if (m_options.rule == OwnershipProtocol::LeaseExpiry)
+    if (m_options.protocol == OwnershipProtocol::LeaseExpiry)
         renewLease(process);
     readService(process);
     readList(process);
     queryVoters(process);
     moveRows(process);
-    if (m_options.rule == OwnershipProtocol::ListAndVoters)
+    if (m_options.protocol == OwnershipProtocol::ListAndVoters)
         maintainVoterSet(process);
 }
 
@@ -418,13 +418,13 @@
         Process* target = findReachable(process, voter);
         if (!target || (m_options.lossyNetwork && chance(lossPercent)))
             continue;
-        std::weak_ptr<Process> asker = sharedPointerTo(process);
+        std::weak_ptr<Process> requester = sharedPointerTo(process);
         InstanceId instance = process.instance();
-        deliver(sharedPointerTo(*target), m_now + networkDelay(), [this, asker, window, instance](Process& self) {
+        deliver(sharedPointerTo(*target), m_now + networkDelay(), [this, requester, window, instance](Process& self) {
             bool vouches = self.voter.vouchFor(instance, self.local(m_now));
             VoterSet voterSet = self.voter.voterSet();
             InstanceId from = self.instance();
-            deliver(asker, m_now + networkDelay(), [this, window, vouches, voterSet, from](Process& holder) {
+            deliver(requester, m_now + networkDelay(), [this, window, vouches, voterSet, from](Process& holder) {
                 holder.holder->onVoterSet(voterSet);
                 holder.holder->onVoterAnswer(window, holder.local(m_now), from, voterSet.generation, vouches);
                 holder.generations[from] = std::max(holder.generations[from], voterSet.generation);
@@ -432,9 +432,9 @@
         });
         for (const auto& gone : absent) {
             base::Revision mark = process.detector->markRevisionOf(gone);
-            deliver(sharedPointerTo(*target), m_now + networkDelay(), [this, asker, window, gone, mark](Process& self) {
+            deliver(sharedPointerTo(*target), m_now + networkDelay(), [this, requester, window, gone, mark](Process& self) {
                 VoterReply reply = self.voter.onAbsenceQuery(gone, mark, self.local(m_now));
-                deliver(asker, m_now + networkDelay(), [this, window, gone, reply](Process& taker) {
+                deliver(requester, m_now + networkDelay(), [this, window, gone, reply](Process& taker) {
                     taker.detector->onVoterReply(window, taker.local(m_now), gone, reply);
                 });
             });
@@ -447,7 +447,7 @@
     Instant now = process.local(m_now);
     if (!process.hasRead)
         return;
-    bool leases = m_options.rule == OwnershipProtocol::LeaseExpiry;
+    bool leases = m_options.protocol == OwnershipProtocol::LeaseExpiry;
     for (size_t index = 0; index < m_options.rows; ++index) {
         RowKey key = rowKey(index);
         if (process.moving.count(key))
@@ -628,7 +628,7 @@
 
 bool Fleet::mayUse(const Process& process, const Row& row) const
 {
-    if (m_options.rule == OwnershipProtocol::LeaseExpiry)
+    if (m_options.protocol == OwnershipProtocol::LeaseExpiry)
         return process.leaseUsePolicy.mayUse(row, process.local(m_now));
     return process.holder->mayUse(row, process.local(m_now));
 }
--- a/packages/assignments/test/FleetModel.h
+++ b/packages/assignments/test/FleetModel.h
@@ -47,7 +47,7 @@
     Timing timing;
     bool versionedList = true;
     bool lossyNetwork = true;
-    OwnershipProtocol rule = OwnershipProtocol::ListAndVoters;
+    OwnershipProtocol protocol = OwnershipProtocol::ListAndVoters;
     base::Duration leaseTimeToLive = std::chrono::seconds(10);
     uint64_t seed = 1;
     const ComponentFactory* components = nullptr;
--- a/packages/assignments/test/ScenarioTest.cpp
+++ b/packages/assignments/test/ScenarioTest.cpp
@@ -12,11 +12,11 @@
 
 namespace {
 
-FleetOptions reliableNetworkOptions(OwnershipProtocol rule = OwnershipProtocol::ListAndVoters)
+FleetOptions reliableNetworkOptions(OwnershipProtocol protocol = OwnershipProtocol::ListAndVoters)
 {
     FleetOptions options;
     options.lossyNetwork = false;
-    options.rule = rule;
+    options.protocol = protocol;
     return options;
 }
 
@@ -69,14 +69,14 @@
 TEST(Scenarios, ACrashInAnOutageStopsOnlyTheRowsOfTheCrashedHolder)
 {
     auto fleet = settledFleet(reliableNetworkOptions());
-    size_t dead = *fleet->userOf(0);
+    size_t crashed = *fleet->userOf(0);
     std::vector<size_t> others;
     for (size_t row = 1; row < 3; ++row) {
-        if (fleet->userOf(row) != dead)
+        if (fleet->userOf(row) != crashed)
             others.push_back(row);
     }
     fleet->perform({ FleetAction::StartOutage, 0, seconds(10) });
-    fleet->perform({ FleetAction::ReplaceAndCrash, dead, {} });
+    fleet->perform({ FleetAction::ReplaceAndCrash, crashed, {} });
     for (int step = 0; step < 240; ++step) {
         fleet->run(milliseconds(250));
         CHECK_FALSE(fleet->userOf(0).has_value());
@@ -154,24 +154,24 @@
 {
     struct Cost {
         double outage;
-        double outageAndDeath;
+        double outageAndCrash;
         double recovery;
     };
-    auto measure = [](OwnershipProtocol rule) {
-        auto outage = settledFleet(reliableNetworkOptions(rule));
+    auto measure = [](OwnershipProtocol protocol) {
+        auto outage = settledFleet(reliableNetworkOptions(protocol));
         outage->perform({ FleetAction::StartOutage, 0, seconds(60) });
-        auto both = settledFleet(reliableNetworkOptions(rule));
+        auto both = settledFleet(reliableNetworkOptions(protocol));
         both->perform({ FleetAction::StartOutage, 0, seconds(10) });
         both->perform({ FleetAction::ReplaceAndCrash, *both->userOf(0), seconds(50) });
-        auto death = settledFleet(reliableNetworkOptions(rule));
-        death->perform({ FleetAction::ReplaceAndCrash, *death->userOf(0), {} });
-        Cost cost { toSeconds(outage->unusable()) / toSeconds(outage->observed()), toSeconds(both->unusable()) / toSeconds(both->observed()), toSeconds(untilUsable(*death, 0, minutes(3))) };
-        UT_PRINT(StringFromFormat("%s: unused rows x time in a 60 s outage %.3f, with a death in it %.3f; recovery after a death %.2f s", rule == OwnershipProtocol::LeaseExpiry ? "leases" : "list and voters", cost.outage, cost.outageAndDeath, cost.recovery));
+        auto crash = settledFleet(reliableNetworkOptions(protocol));
+        crash->perform({ FleetAction::ReplaceAndCrash, *crash->userOf(0), {} });
+        Cost cost { toSeconds(outage->unusable()) / toSeconds(outage->observed()), toSeconds(both->unusable()) / toSeconds(both->observed()), toSeconds(untilUsable(*crash, 0, minutes(3))) };
+        UT_PRINT(StringFromFormat("%s: fraction of row-time unused in a 60 s outage %.3f, with a crash during it %.3f; recovery after a crash %.2f s", protocol == OwnershipProtocol::LeaseExpiry ? "leases" : "list and voters", cost.outage, cost.outageAndCrash, cost.recovery));
         return cost;
     };
     Cost leases = measure(OwnershipProtocol::LeaseExpiry);
     Cost listAndVoters = measure(OwnershipProtocol::ListAndVoters);
     CHECK_EQUAL(0.0, listAndVoters.outage);
     CHECK_COMPARE(leases.outage, >, 0.5);
-    CHECK_COMPARE(listAndVoters.outageAndDeath, <, leases.outageAndDeath);
+    CHECK_COMPARE(listAndVoters.outageAndCrash, <, leases.outageAndCrash);
 }
--- a/packages/assignments/test/UnitTest.cpp
+++ b/packages/assignments/test/UnitTest.cpp
@@ -82,7 +82,7 @@
         };
         auto changes = *rc::gen::container<std::vector<Change>>(rc::gen::construct<Change>(rc::gen::arbitrary<bool>(), rc::gen::inRange(0, 3)));
         std::map<int, std::optional<Row>> truth;
-        std::vector<std::function<void(AssignmentTable&)>> news;
+        std::vector<std::function<void(AssignmentTable&)>> updates;
         int64_t revision = 0;
         for (const auto& change : changes) {
             ++revision;
@@ -90,20 +90,20 @@
             truth[change.slot] = change.deleted ? std::nullopt : std::optional(row);
             WatchEvent event { entryOf(row), change.deleted };
             Revision current(revision);
-            news.push_back([event, current](AssignmentTable& table) { table.applyEvents({ event }, current); });
+            updates.push_back([event, current](AssignmentTable& table) { table.applyEvents({ event }, current); });
             RangeReply reply { {}, current };
             for (const auto& [slot, known] : truth) {
                 if (known)
                     reply.entries.push_back(entryOf(*known));
             }
-            news.push_back([reply](AssignmentTable& table) { table.applyRange(allRowsPrefix, reply); });
+            updates.push_back([reply](AssignmentTable& table) { table.applyRange(allRowsPrefix, reply); });
         }
-        auto order = *rc::gen::container<std::vector<size_t>>(news.size() * 2, rc::gen::inRange<size_t>(0, std::max<size_t>(1, news.size())));
+        auto order = *rc::gen::container<std::vector<size_t>>(updates.size() * 2, rc::gen::inRange<size_t>(0, std::max<size_t>(1, updates.size())));
         AssignmentTable table;
-        if (!news.empty())
-            news.back()(table);
+        if (!updates.empty())
+            updates.back()(table);
         for (size_t index : order)
-            news[index](table);
+            updates[index](table);
         for (const auto& [slot, expected] : truth) {
             const Row* found = table.find({ RowKind::LimitShare, "a", static_cast<uint32_t>(slot) });
             RC_ASSERT((found ? std::optional(*found) : std::nullopt) == expected);
