--- a/packages/assignments/include/toucanstep/assignments/LeaseExpiry.h
+++ b/packages/assignments/include/toucanstep/assignments/LeaseExpiry.h
@@ -1,19 +1,20 @@
-// The obvious alternative, kept runnable for comparison: rows that expire unless their holder renews them.
+// Baseline for comparison: rows protected by leases that expire unless their holder renews them.
 //
-// The holder uses its rows for the time to live after the sending of its last renewal; anybody takes a row whose lease
-// has not been renewed for the time to live and a margin. An outage of the service longer than that stops every holder.
+// A holder uses its rows for the time to live after it sent its last renewal. Any process may take over a row whose
+// lease has not been renewed for the time to live plus a margin. A service outage longer than the time to live stops
+// every holder.
 
 #pragma once
 
-#include "toucanstep/assignments/AbsenceTracker.h"
+#include "toucanstep/assignments/FailureDetector.h"
 #include "toucanstep/assignments/HolderState.h"
 
 namespace toucanstep::assignments {
 
-class LeaseExpiryUse final : public UseRule {
+class LeaseUsePolicy final : public UsePolicy {
 public:
-    LeaseExpiryUse(Holder self, base::Duration timeToLive);
-    // The service answered a renewal that was sent at `sentAt`.
+    LeaseUsePolicy(Holder self, base::Duration timeToLive);
+    // Records that the service answered a renewal sent at `sentAt`.
     void onRenewed(base::Instant sentAt);
     bool mayUse(const Row&, base::Instant now) const override;
 
@@ -23,22 +24,22 @@
     std::optional<base::Instant> m_renewedAt;
 };
 
-class LeaseExpiryTake final : public TakeRule {
+class LeaseTakeoverPolicy final : public TakeoverPolicy {
 public:
-    LeaseExpiryTake(base::Duration timeToLive, base::Duration margin);
-    // A read of the service showed this renewal count of the instance's lease.
+    LeaseTakeoverPolicy(base::Duration timeToLive, base::Duration margin);
+    // Records the renewal count of an instance's lease, as read from the service.
     void onLeaseSeen(const base::InstanceId&, uint64_t renewals, base::Instant now);
-    bool mayTake(const Row&, base::Instant now) const override;
+    bool mayTakeOver(const Row&, base::Instant now) const override;
 
 private:
-    struct Seen {
+    struct LeaseObservation {
         uint64_t renewals = 0;
         base::Instant since;
     };
 
     base::Duration m_timeToLive;
     base::Duration m_margin;
-    std::map<base::InstanceId, Seen> m_seen;
+    std::map<base::InstanceId, LeaseObservation> m_seen;
 };
 
 } // namespace toucanstep::assignments
--- a/packages/assignments/src/HolderState.cpp
+++ b/packages/assignments/src/HolderState.cpp
@@ -14,64 +14,64 @@
 {
 }
 
-void HolderState::onServiceRead(Exchange exchange, Instant now, base::Revision revision, bool marked, const std::optional<Electorates>& electorates)
+void HolderState::onServiceRead(RequestWindow window, Instant now, base::Revision revision, bool marked, const std::optional<VoterSets>& voterSets)
 {
-    // An answer after its deadline may have lain anywhere meanwhile; nothing is concluded from it.
-    if (now > exchange.deadline || revision < m_markKnownAt)
+    // An answer past its deadline may have been delayed anywhere, so it proves nothing.
+    if (now > window.deadline || revision < m_markKnownAt)
         return;
     m_markKnownAt = revision;
     m_marked = marked;
-    m_readSentAt = m_readSentAt ? std::max(*m_readSentAt, exchange.sentAt) : exchange.sentAt;
-    if (electorates)
-        onElectorate(electorates->current);
+    m_readSentAt = m_readSentAt ? std::max(*m_readSentAt, window.sentAt) : window.sentAt;
+    if (voterSets)
+        onVoterSet(voterSets->current);
     if (m_marked) {
-        // The rows may move from here on, and a mark that is lifted later does not bring them back.
+        // The rows may move from now on, and deleting the mark later does not restore them.
         m_hasRead = false;
         return;
     }
     m_hasRead = true;
-    endLapse(exchange.sentAt);
+    endLapse(window.sentAt);
 }
 
-void HolderState::onListAnswer(Exchange exchange, Instant now, std::optional<uint64_t> version, bool showsSelf)
+void HolderState::onListAnswer(RequestWindow window, Instant now, std::optional<uint64_t> version, bool showsSelf)
 {
-    if (now > exchange.deadline)
+    if (now > window.deadline)
         return;
-    bool older = version && m_listVersion ? *version < *m_listVersion : m_newestListAnswer && exchange.sentAt < *m_newestListAnswer;
+    bool older = version && m_listVersion ? *version < *m_listVersion : m_newestListAnswer && window.sentAt < *m_newestListAnswer;
     if (older)
         return;
     if (version)
         m_listVersion = version;
-    m_newestListAnswer = exchange.sentAt;
+    m_newestListAnswer = window.sentAt;
     if (!showsSelf)
         return;
     Instant continuous = continuousUntil();
-    m_listSentAt = exchange.sentAt;
-    noteEvidence(continuous);
+    m_listSentAt = window.sentAt;
+    detectLapse(continuous);
 }
 
-void HolderState::onVoterAnswer(Exchange exchange, Instant now, const base::InstanceId& voter, Generation generation, bool vouches)
+void HolderState::onVoterAnswer(RequestWindow window, Instant now, const base::InstanceId& voter, Generation generation, bool vouches)
 {
-    // A voter that knows a later set has promised not to vouch under this one. One that knows only a former set may lack
-    // marks that were written before it became a member of this one.
-    bool counts = vouches && now <= exchange.deadline && generation == m_electorate.generation && m_electorate.members.count(voter);
+    // A voter with a later set has promised not to vouch under this one. A voter with an earlier set may be missing
+    // marks written before it became a member of this one.
+    bool counts = vouches && now <= window.deadline && generation == m_voterSet.generation && m_voterSet.members.count(voter);
     if (!counts)
         return;
     Instant continuous = continuousUntil();
-    auto [found, isNew] = m_vouchedAt.emplace(voter, exchange.sentAt);
+    auto [found, isNew] = m_vouchedAt.emplace(voter, window.sentAt);
     if (!isNew)
-        found->second = std::max(found->second, exchange.sentAt);
-    noteEvidence(continuous);
+        found->second = std::max(found->second, window.sentAt);
+    detectLapse(continuous);
     if (auto evidence = voterEvidence())
         endLapse(*evidence);
 }
 
-void HolderState::onElectorate(const Electorate& electorate)
+void HolderState::onVoterSet(const VoterSet& voterSet)
 {
-    if (electorate.generation <= m_electorate.generation)
+    if (voterSet.generation <= m_voterSet.generation)
         return;
-    m_electorate = electorate;
-    // Votes that were given for the former set do not make a majority of this one.
+    m_voterSet = voterSet;
+    // Votes given under the previous set do not count towards a majority of this one.
     m_vouchedAt.clear();
 }
 
@@ -80,9 +80,9 @@
     std::vector<Instant> sent;
     for (const auto& [voter, sentAt] : m_vouchedAt)
         sent.push_back(sentAt);
-    if (m_electorate.members.empty() || sent.size() < m_electorate.majority())
+    if (m_voterSet.members.empty() || sent.size() < m_voterSet.majority())
         return std::nullopt;
-    auto needed = sent.begin() + static_cast<std::ptrdiff_t>(m_electorate.majority()) - 1;
+    auto needed = sent.begin() + static_cast<std::ptrdiff_t>(m_voterSet.majority()) - 1;
     std::nth_element(sent.begin(), needed, sent.end(), std::greater<>());
     return *needed;
 }
@@ -106,8 +106,8 @@
     return latest ? *latest + m_timing.holderLimit : Instant::min();
 }
 
-// A lapse shows when the next proof comes: it was asked for after the former ones had ended.
-void HolderState::noteEvidence(Instant continuous)
+// A lapse is detected when the next proof arrives: its request was sent after the earlier proofs had expired.
+void HolderState::detectLapse(Instant continuous)
 {
     auto evidence = newestEvidence();
     if (lapses() && m_hasRead && !m_lapsedAt && evidence && *evidence > continuous)
@@ -141,10 +141,10 @@
 {
     if (!(row.holder == m_self) || m_self.start.empty())
         return false;
-    return !hasGivenUp(row) && now <= usableUntil();
+    return !hasRelinquished(row) && now <= usableUntil();
 }
 
-bool HolderState::hasGivenUp(const Row& row) const
+bool HolderState::hasRelinquished(const Row& row) const
 {
     auto relinquished = m_relinquished.find(row.key);
     return relinquished != m_relinquished.end() && row.modified <= relinquished->second;
--- a/packages/assignments/src/Mover.cpp
+++ b/packages/assignments/src/Mover.cpp
@@ -11,7 +11,7 @@
 {
     base::Transaction transaction;
     transaction.comparisons.push_back({ storageKey(row.key), compared });
-    // An instance that is marked as gone is given nothing.
+    // Never assign rows to an instance that is marked as gone.
     transaction.comparisons.push_back({ goneMarkKey(row.holder.instance), base::Revision() });
     transaction.operations.push_back(base::PutOperation { storageKey(row.key), encodeRow(row), std::nullopt });
     return transaction;
@@ -19,14 +19,14 @@
 
 bool isAboutMark(MoveKind kind) { return kind == MoveKind::MarkGone || kind == MoveKind::LiftMark; }
 
-// Whether the move is done with once the entry is no longer what it was, whoever changed it.
-bool endsWithAnyChange(MoveKind kind)
+// Whether the move is complete once the entry has changed, whoever changed it.
+bool completesOnAnyChange(MoveKind kind)
 {
     return kind == MoveKind::Release || kind == MoveKind::HandOver || kind == MoveKind::LiftMark;
 }
 
-// Whether the error says that the transaction was certainly not carried out.
-bool isCertain(const base::Error& error)
+// Whether the error proves that the transaction was not applied.
+bool isDefinitelyNotApplied(const base::Error& error)
 {
     return error.kind == base::ErrorKind::Unavailable || error.kind == base::ErrorKind::Rejected;
 }
@@ -43,7 +43,7 @@
     return WriteNonce(base::concat(m_self.instance, "/", m_self.start, "/", m_counter));
 }
 
-Move Mover::begin(MoveKind kind, std::string key, base::Revision compared, std::optional<Row> row, WriteNonce nonce, base::Transaction transaction)
+Move Mover::addPending(MoveKind kind, std::string key, base::Revision compared, std::optional<Row> row, WriteNonce nonce, base::Transaction transaction)
 {
     MoveId id(m_counter);
     m_pending.emplace(id, Pending { kind, key, compared, std::move(row), std::move(nonce), MoveState::Sent });
@@ -57,7 +57,7 @@
     transaction.comparisons.insert(transaction.comparisons.end(), conditions.begin(), conditions.end());
     std::string key = storageKey(row.key);
     WriteNonce nonce = row.writer;
-    return begin(kind, std::move(key), compared, std::move(row), std::move(nonce), std::move(transaction));
+    return addPending(kind, std::move(key), compared, std::move(row), std::move(nonce), std::move(transaction));
 }
 
 Move Mover::claim(const RowKey& key, std::string payload, base::Revision read)
@@ -78,12 +78,12 @@
     return write(MoveKind::Adopt, std::move(adopted), row.modified, {});
 }
 
-Move Mover::takeOver(const Row& row, const Clearance& clearance, const Holder& to, std::string payload, base::Revision read)
+Move Mover::takeOver(const Row& row, const TakeoverProof& proof, const Holder& to, std::string payload, base::Revision read)
 {
     Row taken { .key = row.key, .holder = to, .epoch = nextEpoch(read), .payload = std::move(payload) };
-    // The proof that the holder has stopped was gathered under this mark and these voters, and is good only with them.
+    // The proof was collected under this mark and these voter sets and is valid only while both are unchanged.
     return write(MoveKind::TakeOver, std::move(taken), row.modified,
-        { { goneMarkKey(clearance.instance), clearance.mark }, { std::string(electoratesKey), clearance.electorates } });
+        { { goneMarkKey(proof.instance), proof.mark }, { std::string(voterSetsKey), proof.voterSets } });
 }
 
 Move Mover::handOver(const Row& row, HolderState& holder, const Holder& to, base::Revision read)
@@ -102,7 +102,7 @@
     base::Transaction transaction;
     transaction.comparisons.push_back({ key, row.modified });
     transaction.operations.push_back(base::DeleteOperation { key });
-    return begin(MoveKind::Release, key, row.modified, std::nullopt, nextNonce(), std::move(transaction));
+    return addPending(MoveKind::Release, key, row.modified, std::nullopt, nextNonce(), std::move(transaction));
 }
 
 Move Mover::markGone(const base::InstanceId& instance)
@@ -112,7 +112,7 @@
     base::Transaction transaction;
     transaction.comparisons.push_back({ key, base::Revision() });
     transaction.operations.push_back(base::PutOperation { key, nonce.value(), std::nullopt });
-    return begin(MoveKind::MarkGone, key, base::Revision(), std::nullopt, nonce, std::move(transaction));
+    return addPending(MoveKind::MarkGone, key, base::Revision(), std::nullopt, nonce, std::move(transaction));
 }
 
 Move Mover::liftMark(const GoneMark& mark)
@@ -121,7 +121,7 @@
     base::Transaction transaction;
     transaction.comparisons.push_back({ key, mark.modified });
     transaction.operations.push_back(base::DeleteOperation { key });
-    return begin(MoveKind::LiftMark, key, mark.modified, std::nullopt, nextNonce(), std::move(transaction));
+    return addPending(MoveKind::LiftMark, key, mark.modified, std::nullopt, nextNonce(), std::move(transaction));
 }
 
 MoveState Mover::onOutcome(MoveId id, const base::Outcome<base::TransactionReply>& outcome)
@@ -133,7 +133,7 @@
     if (pending.state == MoveState::Committed || pending.state == MoveState::Failed)
         return pending.state;
     if (const auto* error = std::get_if<base::Error>(&outcome)) {
-        pending.state = isCertain(*error) ? MoveState::Failed : MoveState::NeedsRead;
+        pending.state = isDefinitelyNotApplied(*error) ? MoveState::Failed : MoveState::NeedsRead;
         return pending.state;
     }
     const auto& reply = std::get<base::TransactionReply>(outcome);
@@ -153,22 +153,22 @@
     auto entry = std::find_if(reply.entries.begin(), reply.entries.end(), [&](const base::KeyValue& candidate) { return candidate.key == pending.key; });
     base::Revision current = entry == reply.entries.end() ? base::Revision() : entry->modified;
     if (current == pending.compared) {
-        // The transaction may still lie somewhere on its way.
-        pending.state = MoveState::Unsettled;
+        // The transaction may still be in transit.
+        pending.state = MoveState::InDoubt;
         return pending.state;
     }
-    if (entry != reply.entries.end() && wrote(pending, *entry)) {
+    if (entry != reply.entries.end() && isWrittenBy(pending, *entry)) {
         pending.state = MoveState::Committed;
         pending.committed = entry->modified;
         return pending.state;
     }
-    pending.state = endsWithAnyChange(pending.kind) ? MoveState::Committed : MoveState::Failed;
+    pending.state = completesOnAnyChange(pending.kind) ? MoveState::Committed : MoveState::Failed;
     pending.committed = reply.revision;
     pending.row.reset();
     return pending.state;
 }
 
-bool Mover::wrote(const Pending& pending, const base::KeyValue& entry)
+bool Mover::isWrittenBy(const Pending& pending, const base::KeyValue& entry)
 {
     if (isAboutMark(pending.kind))
         return entry.value == pending.nonce.value();
@@ -183,7 +183,7 @@
     return found == m_pending.end() ? MoveState::Failed : found->second.state;
 }
 
-std::optional<Row> Mover::written(MoveId id) const
+std::optional<Row> Mover::writtenRow(MoveId id) const
 {
     auto found = m_pending.find(id);
     if (found == m_pending.end() || found->second.state != MoveState::Committed || !found->second.row)
@@ -198,7 +198,7 @@
     m_pending.erase(id);
 }
 
-size_t Mover::unsettled() const
+size_t Mover::unfinishedCount() const
 {
     auto counted = std::count_if(m_pending.begin(), m_pending.end(), [](const auto& pending) {
         return pending.second.state != MoveState::Committed && pending.second.state != MoveState::Failed;
--- a/packages/assignments/src/VoterState.cpp
+++ b/packages/assignments/src/VoterState.cpp
@@ -13,16 +13,16 @@
 {
 }
 
-void VoterState::onServiceRead(base::Revision revision, const std::vector<GoneMark>& marks, const std::optional<Electorates>& electorates)
+void VoterState::onServiceRead(base::Revision revision, const std::vector<GoneMark>& marks, const std::optional<VoterSets>& voterSets)
 {
     if (m_hasRead && revision < m_marksRead)
         return;
     m_hasRead = true;
     m_marksRead = revision;
-    bool covered = electorates && electorates->modified <= revision;
-    if (covered && electorates->current.generation > m_electorate.generation)
-        m_electorate = electorates->current;
-    // A promise for a mark that was written after this read stands; of the others the read tells which marks are left.
+    bool covered = voterSets && voterSets->modified <= revision;
+    if (covered && voterSets->current.generation > m_voterSet.generation)
+        m_voterSet = voterSets->current;
+    // Promises for marks written after this read are kept. For all others, the read shows which marks still exist.
     for (auto promise = m_promised.begin(); promise != m_promised.end();)
         promise = promise->second <= revision ? m_promised.erase(promise) : std::next(promise);
     for (const auto& mark : marks) {
@@ -43,11 +43,11 @@
     if (!valid || m_promised.count(instance))
         return false;
     m_vouchedAt[instance] = now;
-    forgetOld(now);
+    pruneOldVotes(now);
     return true;
 }
 
-VoterReply VoterState::onQuestion(const base::InstanceId& instance, base::Revision mark, Instant now)
+VoterReply VoterState::onAbsenceQuery(const base::InstanceId& instance, base::Revision mark, Instant now)
 {
     if (mark != base::Revision()) {
         bool lifted = m_hasRead && mark <= m_marksRead && !m_promised.count(instance);
@@ -63,11 +63,11 @@
     return VoterReply { m_self, now - since, promised == m_promised.end() ? base::Revision() : promised->second };
 }
 
-void VoterState::forgetOld(Instant now)
+void VoterState::pruneOldVotes(Instant now)
 {
-    if (now - m_swept < m_timing.absence)
+    if (now - m_lastPrunedAt < m_timing.absence)
         return;
-    m_swept = now;
+    m_lastPrunedAt = now;
     for (auto vouched = m_vouchedAt.begin(); vouched != m_vouchedAt.end();)
         vouched = now - vouched->second > m_timing.absence * 2 ? m_vouchedAt.erase(vouched) : std::next(vouched);
 }
--- a/packages/assignments/test/FleetModel.cpp
+++ b/packages/assignments/test/FleetModel.cpp
@@ -13,14 +13,14 @@
 using std::chrono::seconds;
 
 namespace {
-constexpr Duration tickLength = milliseconds(250);
-constexpr Duration beatLength = seconds(1);
+constexpr Duration tickInterval = milliseconds(250);
+constexpr Duration heartbeatInterval = seconds(1);
 constexpr Duration callTimeout = seconds(1);
 constexpr int lossPercent = 10;
 constexpr int latePercent = 10;
 constexpr int duplicatePercent = 3;
 constexpr int lagChangePercent = 10;
-constexpr Duration droppedLife = seconds(90);
+constexpr Duration droppedProcessLifetime = seconds(90);
 constexpr int64_t million = 1'000'000;
 
 RowKey rowKey(size_t row) { return { RowKind::LimitShare, "account", static_cast<uint32_t>(row) }; }
@@ -29,15 +29,15 @@
 }
 
 struct Fleet::Process {
-    Process(size_t slotIndex, const Holder& self, const FleetOptions& options, const PartsFactory& parts, int64_t clockDrift, Duration startedAt)
+    Process(size_t slotIndex, const Holder& self, const FleetOptions& options, const ComponentFactory& components, int64_t clockDrift, Duration startedAt)
         : slot(slotIndex)
         , drift(clockDrift)
-        , holder(parts.makeHolder(self, options.timing))
-        , tracker(parts.makeTracker(options.timing))
+        , holder(components.makeHolder(self, options.timing))
+        , detector(components.makeDetector(options.timing))
         , mover(self)
         , voter(self.instance, options.timing, local(startedAt))
-        , leaseUse(self, options.leaseTimeToLive)
-        , leaseTake(options.leaseTimeToLive, seconds(1))
+        , leaseUsePolicy(self, options.leaseTimeToLive)
+        , leaseTakeoverPolicy(options.leaseTimeToLive, seconds(1))
     {
     }
 
@@ -45,16 +45,16 @@
     Instant local(Duration real) const { return Instant(real + Duration(real.count() / million * drift)); }
 
     size_t slot;
-    // How much faster its clock runs than real time, in parts of a million.
+    // How much faster its clock runs than real time, in parts per million.
     int64_t drift;
     std::unique_ptr<HolderState> holder;
-    std::unique_ptr<AbsenceTracker> tracker;
+    std::unique_ptr<FailureDetector> detector;
     AssignmentTable table;
     Mover mover;
     VoterState voter;
-    LeaseExpiryUse leaseUse;
-    LeaseExpiryTake leaseTake;
-    Electorates electorates;
+    LeaseUsePolicy leaseUsePolicy;
+    LeaseTakeoverPolicy leaseTakeoverPolicy;
+    VoterSets voterSets;
     std::set<InstanceId> listed;
     std::map<InstanceId, Generation> generations;
     std::map<InstanceId, base::Revision> leases;
@@ -65,10 +65,10 @@
     bool cutFromPeers = false;
     bool cutFromService = false;
     bool cutFromList = false;
-    Duration nextBeat {};
+    Duration nextHeartbeat {};
     Duration lag {};
-    // The end of a process that runs on after the list has dropped its instance.
-    Duration diesAt = Duration::max();
+    // When a process that keeps running after the list has dropped its instance is terminated.
+    Duration stopsAt = Duration::max();
     std::map<RowKey, MoveId> moving;
     std::vector<std::function<void(Process&)>> inbox;
 };
@@ -91,13 +91,13 @@
 
 Fleet::Process& Fleet::start(size_t slot, const InstanceId& instance)
 {
-    const PartsFactory& parts = m_options.parts ? *m_options.parts : m_defaultParts;
+    const ComponentFactory& components = m_options.components ? *m_options.components : m_defaultComponents;
     int64_t bound = m_options.timing.driftPartsPerMillion;
-    int64_t drift = static_cast<int64_t>(pick(static_cast<size_t>(2 * bound + 1))) - bound;
+    int64_t drift = static_cast<int64_t>(randomIndex(static_cast<size_t>(2 * bound + 1))) - bound;
     Holder self { instance, StartNonce("s" + std::to_string(++m_starts)) };
-    m_slots[slot] = std::make_shared<Process>(slot, self, m_options, parts, drift, m_now);
-    m_slots[slot]->nextBeat = m_now;
-    noteAlive();
+    m_slots[slot] = std::make_shared<Process>(slot, self, m_options, components, drift, m_now);
+    m_slots[slot]->nextHeartbeat = m_now;
+    refreshAlive();
     m_instanceOf[slot] = instance;
     return *m_slots[slot];
 }
@@ -120,12 +120,12 @@
         break;
     case FleetAction::Crash:
         m_slots[slot].reset();
-        noteAlive();
+        refreshAlive();
         break;
     case FleetAction::Restart:
         start(slot, m_instanceOf[slot]);
         break;
-    case FleetAction::Vanish:
+    case FleetAction::ReplaceAndCrash:
         m_slots[slot].reset();
         replace(slot);
         break;
@@ -176,22 +176,22 @@
             releaseOrHandOver(*process, command.action == FleetAction::Release);
         break;
     }
-    observe();
-    run(command.then);
+    checkExclusiveUse();
+    run(command.runFor);
 }
 
-// The list drops the slot's instance and shows a new one; the former process runs on.
+// The list drops the slot's instance and shows a new one; the previous process keeps running.
 void Fleet::replace(size_t slot)
 {
-    InstanceId former = m_instanceOf[slot];
+    InstanceId previous = m_instanceOf[slot];
     InstanceId next("i" + std::to_string(++m_instances));
     changeList([&](std::set<InstanceId>& instances) {
-        instances.erase(former);
+        instances.erase(previous);
         instances.insert(next);
     });
     if (m_slots[slot]) {
         m_dropped.push_back(m_slots[slot]);
-        m_dropped.back()->diesAt = m_now + droppedLife;
+        m_dropped.back()->stopsAt = m_now + droppedProcessLifetime;
     }
     start(slot, next);
 }
@@ -201,7 +201,7 @@
     for (const auto& row : process.table.rowsOf(process.instance())) {
         if (!process.holder->mayUse(row, process.local(m_now)))
             continue;
-        auto& other = m_slots[pick(m_slots.size())];
+        auto& other = m_slots[randomIndex(m_slots.size())];
         if (release || !other)
             send(process, process.mover.release(row, *process.holder), false);
         else
@@ -210,7 +210,7 @@
     }
 }
 
-void Fleet::noteAlive()
+void Fleet::refreshAlive()
 {
     m_alive = m_dropped;
     std::copy_if(m_slots.begin(), m_slots.end(), std::back_inserter(m_alive), [](const auto& process) { return process != nullptr; });
@@ -223,75 +223,75 @@
         tick();
 }
 
-void Fleet::at(Duration when, std::function<void()> act)
+void Fleet::at(Duration when, std::function<void()> callback)
 {
-    m_events.push({ when, ++m_order, std::move(act) });
+    m_events.push({ when, ++m_order, std::move(callback) });
 }
 
-void Fleet::deliver(const std::weak_ptr<Process>& target, Duration when, std::function<void(Process&)> act)
+void Fleet::deliver(const std::weak_ptr<Process>& target, Duration when, std::function<void(Process&)> callback)
 {
-    // Now and then a message arrives twice.
+    // Occasionally delivers a message twice.
     if (m_options.lossyNetwork && chance(duplicatePercent))
-        at(when + hop(), [this, target, act, when] { deliver(target, when, act); });
-    at(when, [target, act = std::move(act)] {
+        at(when + networkDelay(), [this, target, callback, when] { deliver(target, when, callback); });
+    at(when, [target, callback = std::move(callback)] {
         auto process = target.lock();
         if (!process)
             return;
         if (process->paused)
-            process->inbox.push_back(act);
+            process->inbox.push_back(callback);
         else
-            act(*process);
+            callback(*process);
     });
 }
 
 void Fleet::tick()
 {
-    m_now += tickLength;
+    m_now += tickInterval;
     while (!m_events.empty() && m_events.top().at <= m_now) {
-        auto act = m_events.top().act;
+        auto callback = m_events.top().callback;
         m_events.pop();
-        act();
+        callback();
     }
-    bool ended = std::any_of(m_dropped.begin(), m_dropped.end(), [&](const auto& process) { return m_now >= process->diesAt; });
+    bool ended = std::any_of(m_dropped.begin(), m_dropped.end(), [&](const auto& process) { return m_now >= process->stopsAt; });
     if (ended) {
-        std::erase_if(m_dropped, [&](const auto& process) { return m_now >= process->diesAt; });
-        noteAlive();
+        std::erase_if(m_dropped, [&](const auto& process) { return m_now >= process->stopsAt; });
+        refreshAlive();
     }
-    // After a pause a process may use its rows before it handles anything that has arrived.
-    observe();
+    // After a pause, a process may use its rows before it handles queued messages.
+    checkExclusiveUse();
     auto running = m_alive;
     for (const auto& process : running) {
         if (process->paused)
             continue;
         auto inbox = std::move(process->inbox);
         process->inbox.clear();
-        for (auto& act : inbox)
-            act(*process);
-        if (m_now >= process->nextBeat)
-            beat(*process);
+        for (auto& callback : inbox)
+            callback(*process);
+        if (m_now >= process->nextHeartbeat)
+            onHeartbeat(*process);
     }
-    observe();
-    m_observed += tickLength * static_cast<int64_t>(m_options.rows);
+    checkExclusiveUse();
+    m_observed += tickInterval * static_cast<int64_t>(m_options.rows);
     for (size_t row = 0; row < m_options.rows; ++row) {
         if (!userOf(row))
-            m_unusable += tickLength;
+            m_unusable += tickInterval;
     }
 }
 
-void Fleet::beat(Process& process)
+void Fleet::onHeartbeat(Process& process)
 {
-    process.nextBeat = m_now + beatLength;
-    if (m_options.rule == RowRule::LeaseExpiry)
+    process.nextHeartbeat = m_now + heartbeatInterval;
+    if (m_options.protocol == OwnershipProtocol::LeaseExpiry)
         renewLease(process);
     readService(process);
     readList(process);
-    askVoters(process);
+    queryVoters(process);
     moveRows(process);
-    if (m_options.rule == RowRule::ListAndVoters)
-        maintainElectorate(process);
+    if (m_options.protocol == OwnershipProtocol::ListAndVoters)
+        maintainVoterSet(process);
 }
 
-// Marks and rows are read by two requests that are sent together, and may show two revisions.
+// Marks and rows are read by two concurrent requests, which may return different revisions.
 void Fleet::readService(Process& process)
 {
     struct Reading {
@@ -300,18 +300,18 @@
     };
     auto reading = std::make_shared<Reading>();
     for (auto part : { &Reading::marks, &Reading::rows }) {
-        read(process, [this, reading, part](Process& self, Exchange exchange, const base::RangeReply& reply) {
+        read(process, [this, reading, part](Process& self, RequestWindow window, const base::RangeReply& reply) {
             (*reading).*part = reply;
             if (reading->marks && reading->rows)
-                onServiceRead(self, exchange, *reading->marks, *reading->rows);
+                onServiceRead(self, window, *reading->marks, *reading->rows);
         });
     }
 }
 
-void Fleet::onServiceRead(Process& self, Exchange exchange, const base::RangeReply& marksReply, const base::RangeReply& reply)
+void Fleet::onServiceRead(Process& self, RequestWindow window, const base::RangeReply& marksReply, const base::RangeReply& reply)
 {
     Instant now = self.local(m_now);
-    if (now > exchange.deadline || reply.revision < self.read)
+    if (now > window.deadline || reply.revision < self.read)
         return;
     std::vector<GoneMark> marks;
     for (const auto& entry : marksReply.entries) {
@@ -320,14 +320,14 @@
             marks.push_back({ *marked, entry.modified });
     }
     base::RangeReply rows { {}, reply.revision };
-    std::optional<Electorates> electorates;
+    std::optional<VoterSets> voterSets;
     for (const auto& entry : reply.entries) {
         base::Error error;
-        if (entry.key == electoratesKey)
-            electorates = base::valueOr(error, [&] { return decodeElectorates(entry); });
+        if (entry.key == voterSetsKey)
+            voterSets = base::valueOr(error, [&] { return decodeVoterSets(entry); });
         else if (entry.key.rfind("/lease/", 0) == 0) {
             InstanceId owner(entry.key.substr(7));
-            self.leaseTake.onLeaseSeen(owner, std::stoull(entry.value), now);
+            self.leaseTakeoverPolicy.onLeaseSeen(owner, std::stoull(entry.value), now);
             self.leases[owner] = entry.modified;
         } else if (entry.key.rfind(allRowsPrefix, 0) == 0)
             rows.entries.push_back(entry);
@@ -336,56 +336,57 @@
     self.hasRead = true;
     self.table.applyRange(allRowsPrefix, rows);
     bool marked = std::any_of(marks.begin(), marks.end(), [&](const GoneMark& mark) { return mark.instance == self.instance(); });
-    self.holder->onServiceRead(exchange, now, marksReply.revision, marked, electorates);
-    self.voter.onServiceRead(marksReply.revision, marks, electorates);
-    self.tracker->onMarks(marksReply.revision, marks);
-    if (electorates)
-        learnElectorates(self, *electorates);
+    self.holder->onServiceRead(window, now, marksReply.revision, marked, voterSets);
+    self.voter.onServiceRead(marksReply.revision, marks, voterSets);
+    self.detector->onMarks(marksReply.revision, marks);
+    if (voterSets)
+        learnVoterSets(self, *voterSets);
     for (const auto& row : self.table.all())
-        self.tracker->watch(row.holder.instance, now);
+        self.detector->watch(row.holder.instance, now);
 }
 
-void Fleet::learnElectorates(Process& self, const Electorates& electorates)
+void Fleet::learnVoterSets(Process& self, const VoterSets& voterSets)
 {
     Instant now = self.local(m_now);
-    self.electorates = electorates;
-    self.tracker->onElectorates(electorates, now);
-    for (const auto& member : electorates.current.members)
-        self.tracker->watch(member, now);
-    if (!electorates.former)
+    self.voterSets = voterSets;
+    self.detector->onVoterSets(voterSets, now);
+    for (const auto& member : voterSets.current.members)
+        self.detector->watch(member, now);
+    if (!voterSets.previous)
         return;
-    for (const auto& member : electorates.former->members)
-        self.tracker->watch(member, now);
+    for (const auto& member : voterSets.previous->members)
+        self.detector->watch(member, now);
 }
 
 void Fleet::readList(Process& process)
 {
     Instant sentAt = process.local(m_now);
-    Exchange exchange { sentAt, sentAt + callTimeout };
-    // A cut process keeps getting what the list showed before; the list's lag bounds for how long.
+    RequestWindow window { sentAt, sentAt + callTimeout };
+    // A process that is cut off from the list gets no answer and keeps the state it last saw.
     if (process.cutFromList || (m_options.lossyNetwork && chance(lossPercent)))
         return;
-    // Mostly the same copy of the list answers, as far behind as before; now and then another one, which may go back.
+    // Usually the same replica of the list answers, with the same lag. Occasionally another replica answers, which may
+    // show an older state.
     if (chance(lagChangePercent))
-        process.lag = m_options.timing.listLag * static_cast<int64_t>(pick(100)) / 100;
+        process.lag = m_options.timing.listLag * static_cast<int64_t>(randomIndex(100)) / 100;
     Duration shownAt = m_now - process.lag;
     auto later = std::find_if(m_list.begin(), m_list.end(), [&](const ListState& state) { return state.since > shownAt; });
     ListState state = later == m_list.begin() ? m_list.front() : *std::prev(later);
-    deliver(sharedOf(process), m_now + hop(), [this, exchange, state](Process& self) {
+    deliver(sharedPointerTo(process), m_now + networkDelay(), [this, window, state](Process& self) {
         Instant now = self.local(m_now);
         auto version = m_options.versionedList ? std::optional<uint64_t>(state.version) : std::nullopt;
         bool shows = state.instances.count(self.instance()) > 0;
-        self.holder->onListAnswer(exchange, now, version, shows);
-        self.tracker->onListAnswer(exchange, now, version, state.instances);
-        if (now > exchange.deadline)
+        self.holder->onListAnswer(window, now, version, shows);
+        self.detector->onListAnswer(window, now, version, state.instances);
+        if (now > window.deadline)
             return;
         if (shows)
-            self.voter.onListed(exchange.sentAt);
+            self.voter.onListed(window.sentAt);
         self.listed = state.instances;
     });
 }
 
-Fleet::Process* Fleet::reach(const Process& from, const InstanceId& target)
+Fleet::Process* Fleet::findReachable(const Process& from, const InstanceId& target)
 {
     if (from.cutFromPeers && from.instance() != target)
         return nullptr;
@@ -396,7 +397,7 @@
     return nullptr;
 }
 
-std::shared_ptr<Fleet::Process> Fleet::sharedOf(const Process& process) const
+std::shared_ptr<Fleet::Process> Fleet::sharedPointerTo(const Process& process) const
 {
     for (const auto& candidate : m_alive) {
         if (candidate.get() == &process)
@@ -405,36 +406,36 @@
     return nullptr;
 }
 
-void Fleet::askVoters(Process& process)
+void Fleet::queryVoters(Process& process)
 {
     Instant sentAt = process.local(m_now);
-    Exchange exchange { sentAt, sentAt + callTimeout };
-    std::set<InstanceId> voters = process.electorates.current.members;
-    if (process.electorates.former)
-        voters.insert(process.electorates.former->members.begin(), process.electorates.former->members.end());
-    auto absent = process.tracker->toAsk(sentAt);
+    RequestWindow window { sentAt, sentAt + callTimeout };
+    std::set<InstanceId> voters = process.voterSets.current.members;
+    if (process.voterSets.previous)
+        voters.insert(process.voterSets.previous->members.begin(), process.voterSets.previous->members.end());
+    auto absent = process.detector->instancesToQuery(sentAt);
     for (const auto& voter : voters) {
-        Process* target = reach(process, voter);
+        Process* target = findReachable(process, voter);
         if (!target || (m_options.lossyNetwork && chance(lossPercent)))
             continue;
-        std::weak_ptr<Process> asker = sharedOf(process);
+        std::weak_ptr<Process> requester = sharedPointerTo(process);
         InstanceId instance = process.instance();
-        deliver(sharedOf(*target), m_now + hop(), [this, asker, exchange, instance](Process& self) {
+        deliver(sharedPointerTo(*target), m_now + networkDelay(), [this, requester, window, instance](Process& self) {
             bool vouches = self.voter.vouchFor(instance, self.local(m_now));
-            Electorate electorate = self.voter.electorate();
+            VoterSet voterSet = self.voter.voterSet();
             InstanceId from = self.instance();
-            deliver(asker, m_now + hop(), [this, exchange, vouches, electorate, from](Process& holder) {
-                holder.holder->onElectorate(electorate);
-                holder.holder->onVoterAnswer(exchange, holder.local(m_now), from, electorate.generation, vouches);
-                holder.generations[from] = std::max(holder.generations[from], electorate.generation);
+            deliver(requester, m_now + networkDelay(), [this, window, vouches, voterSet, from](Process& holder) {
+                holder.holder->onVoterSet(voterSet);
+                holder.holder->onVoterAnswer(window, holder.local(m_now), from, voterSet.generation, vouches);
+                holder.generations[from] = std::max(holder.generations[from], voterSet.generation);
             });
         });
         for (const auto& gone : absent) {
-            base::Revision mark = process.tracker->markOf(gone);
-            deliver(sharedOf(*target), m_now + hop(), [this, asker, exchange, gone, mark](Process& self) {
-                VoterReply reply = self.voter.onQuestion(gone, mark, self.local(m_now));
-                deliver(asker, m_now + hop(), [this, exchange, gone, reply](Process& taker) {
-                    taker.tracker->onVoterReply(exchange, taker.local(m_now), gone, reply);
+            base::Revision mark = process.detector->markRevisionOf(gone);
+            deliver(sharedPointerTo(*target), m_now + networkDelay(), [this, requester, window, gone, mark](Process& self) {
+                VoterReply reply = self.voter.onAbsenceQuery(gone, mark, self.local(m_now));
+                deliver(requester, m_now + networkDelay(), [this, window, gone, reply](Process& taker) {
+                    taker.detector->onVoterReply(window, taker.local(m_now), gone, reply);
                 });
             });
         }
@@ -446,7 +447,7 @@
     Instant now = process.local(m_now);
     if (!process.hasRead)
         return;
-    bool leases = m_options.rule == RowRule::LeaseExpiry;
+    bool leases = m_options.protocol == OwnershipProtocol::LeaseExpiry;
     for (size_t index = 0; index < m_options.rows; ++index) {
         RowKey key = rowKey(index);
         if (process.moving.count(key))
@@ -458,21 +459,21 @@
             continue;
         }
         bool own = row->holder.instance == process.instance();
-        const PartsFactory& parts = m_options.parts ? *m_options.parts : m_defaultParts;
-        if (own && row->holder.start != process.holder->self().start && parts.adoptsRows())
+        const ComponentFactory& components = m_options.components ? *m_options.components : m_defaultComponents;
+        if (own && row->holder.start != process.holder->self().start && components.adoptsRows())
             send(process, process.mover.adopt(*row, process.read), false);
         if (own || !chance(50))
             continue;
         if (leases) {
-            if (!process.leaseTake.mayTake(*row, now))
+            if (!process.leaseTakeoverPolicy.mayTakeOver(*row, now))
                 continue;
             Move move = process.mover.adopt(*row, process.read);
             move.transaction.comparisons.push_back({ leaseKey(row->holder.instance), process.leases[row->holder.instance] });
             send(process, move, true);
             continue;
         }
-        if (auto clearance = process.tracker->clearance(row->holder.instance, now))
-            send(process, process.mover.takeOver(*row, *clearance, process.holder->self(), "", process.read), true);
+        if (auto proof = process.detector->takeoverProof(row->holder.instance, now))
+            send(process, process.mover.takeOver(*row, *proof, process.holder->self(), "", process.read), true);
     }
     if (leases)
         return;
@@ -480,40 +481,40 @@
     for (const auto& row : process.table.all())
         holders.insert(row.holder.instance);
     for (const auto& instance : holders) {
-        if (process.tracker->phase(instance, now) == AbsencePhase::MarkNeeded)
+        if (process.detector->phase(instance, now) == FailurePhase::MarkNeeded)
             send(process, process.mover.markGone(instance), false);
     }
-    if (process.holder->mayLiftMark(now) && process.tracker->markOf(process.instance()) != base::Revision())
-        send(process, process.mover.liftMark({ process.instance(), process.tracker->markOf(process.instance()) }), false);
+    if (process.holder->mayLiftMark(now) && process.detector->markRevisionOf(process.instance()) != base::Revision())
+        send(process, process.mover.liftMark({ process.instance(), process.detector->markRevisionOf(process.instance()) }), false);
 }
 
-void Fleet::maintainElectorate(Process& process)
+void Fleet::maintainVoterSet(Process& process)
 {
     if (!process.hasRead || process.listed.size() < m_options.voters)
         return;
     Instant now = process.local(m_now);
-    const auto& known = process.electorates;
-    if (known.former) {
+    const auto& known = process.voterSets;
+    if (known.previous) {
         std::set<InstanceId> promised;
-        for (const auto& member : known.former->members) {
+        for (const auto& member : known.previous->members) {
             bool knows = process.generations[member] >= known.current.generation;
-            if (knows || process.tracker->hasStoppedVouching(member, now))
+            if (knows || process.detector->hasStoppedVouching(member, now))
                 promised.insert(member);
         }
-        if (auto transaction = retireFormer(known, promised))
+        if (auto transaction = retirePrevious(known, promised))
             commit(process, *transaction, [](Process&, const auto&) {});
         return;
     }
     std::set<InstanceId> members;
     for (const auto& member : known.current.members) {
-        if (!process.tracker->listHasDropped(member))
+        if (!process.detector->listHasDropped(member))
             members.insert(member);
     }
     for (const auto& candidate : process.listed) {
         if (members.size() < m_options.voters)
             members.insert(candidate);
     }
-    if (auto transaction = changeElectorate(known, members))
+    if (auto transaction = changeVoterSet(known, members))
         commit(process, *transaction, [](Process&, const auto&) {});
 }
 
@@ -524,7 +525,7 @@
     Instant sentAt = process.local(m_now);
     commit(process, transaction, [sentAt](Process& self, const auto& outcome) {
         if (std::holds_alternative<base::TransactionReply>(outcome))
-            self.leaseUse.onRenewed(sentAt);
+            self.leaseUsePolicy.onRenewed(sentAt);
     });
 }
 
@@ -539,18 +540,18 @@
     commit(process, move.transaction, [this, id, key, takesOver](Process& self, const auto& outcome) {
         MoveState state = self.mover.onOutcome(id, outcome);
         if (state == MoveState::NeedsRead) {
-            // Read back until something is known; the table's own reads show the row meanwhile.
-            read(self, [this, id, key, takesOver](Process& reader, Exchange, const base::RangeReply& reply) {
+            // Reads the entry back to resolve the move; until then the table's own reads show the row.
+            read(self, [this, id, key, takesOver](Process& reader, RequestWindow, const base::RangeReply& reply) {
                 MoveState settled = reader.mover.onRead(id, reply);
                 if (settled == MoveState::Committed && takesOver)
                     ++m_takeovers;
-                if (auto written = reader.mover.written(id))
+                if (auto written = reader.mover.writtenRow(id))
                     reader.table.applyWrite(*written);
             });
         }
         if (state == MoveState::Committed && takesOver)
             ++m_takeovers;
-        if (auto written = self.mover.written(id))
+        if (auto written = self.mover.writtenRow(id))
             self.table.applyWrite(*written);
         if (key)
             self.moving.erase(*key);
@@ -559,7 +560,7 @@
 
 void Fleet::commit(Process& process, const base::Transaction& transaction, std::function<void(Process&, const base::Outcome<base::TransactionReply>&)> then)
 {
-    std::weak_ptr<Process> sender = sharedOf(process);
+    std::weak_ptr<Process> sender = sharedPointerTo(process);
     auto settled = std::make_shared<bool>(false);
     ++m_writes;
     deliver(sender, m_now + callTimeout, [settled, then](Process& self) {
@@ -568,37 +569,37 @@
     });
     if (process.cutFromService || (m_options.lossyNetwork && chance(lossPercent)))
         return;
-    // A request may lie on its way for long and take effect after its sender has given it up, or died.
+    // A request may be delayed for long and take effect after its sender has timed out or died.
     bool late = m_options.lossyNetwork && chance(latePercent);
-    Duration arrival = m_now + (late ? seconds(1 + static_cast<int64_t>(pick(30))) : hop());
+    Duration arrival = m_now + (late ? seconds(1 + static_cast<int64_t>(randomIndex(30))) : networkDelay());
     at(arrival, [this, sender, settled, transaction, then] {
         if (m_outage)
             return;
         auto reply = apply(transaction);
         if (m_options.lossyNetwork && chance(lossPercent))
             return;
-        deliver(sender, m_now + hop(), [settled, then, reply](Process& self) {
+        deliver(sender, m_now + networkDelay(), [settled, then, reply](Process& self) {
             if (!std::exchange(*settled, true))
                 then(self, reply);
         });
     });
 }
 
-void Fleet::read(Process& process, std::function<void(Process&, Exchange, const base::RangeReply&)> then)
+void Fleet::read(Process& process, std::function<void(Process&, RequestWindow, const base::RangeReply&)> then)
 {
     Instant sentAt = process.local(m_now);
-    Exchange exchange { sentAt, sentAt + callTimeout };
-    std::weak_ptr<Process> sender = sharedOf(process);
+    RequestWindow window { sentAt, sentAt + callTimeout };
+    std::weak_ptr<Process> sender = sharedPointerTo(process);
     ++m_reads;
     if (process.cutFromService || (m_options.lossyNetwork && chance(lossPercent)))
         return;
-    at(m_now + hop(), [this, sender, exchange, then] {
+    at(m_now + networkDelay(), [this, sender, window, then] {
         if (m_outage)
             return;
         base::RangeReply reply { {}, base::Revision(m_revision) };
         for (const auto& [key, entry] : m_store)
             reply.entries.push_back(entry);
-        deliver(sender, m_now + hop(), [exchange, then, reply](Process& self) { then(self, exchange, reply); });
+        deliver(sender, m_now + networkDelay(), [window, then, reply](Process& self) { then(self, window, reply); });
     });
 }
 
@@ -627,8 +628,8 @@
 
 bool Fleet::mayUse(const Process& process, const Row& row) const
 {
-    if (m_options.rule == RowRule::LeaseExpiry)
-        return process.leaseUse.mayUse(row, process.local(m_now));
+    if (m_options.protocol == OwnershipProtocol::LeaseExpiry)
+        return process.leaseUsePolicy.mayUse(row, process.local(m_now));
     return process.holder->mayUse(row, process.local(m_now));
 }
 
@@ -649,7 +650,7 @@
     return users;
 }
 
-void Fleet::observe()
+void Fleet::checkExclusiveUse()
 {
     for (size_t row = 0; row < m_options.rows; ++row) {
         auto users = usersOf(row);
@@ -667,18 +668,18 @@
     m_observed = {};
 }
 
-Duration Fleet::hop()
+Duration Fleet::networkDelay()
 {
     bool slow = m_options.lossyNetwork && chance(latePercent);
-    return milliseconds(1 + pick(slow ? 2500 : 100));
+    return milliseconds(1 + randomIndex(slow ? 2500 : 100));
 }
 
 bool Fleet::chance(int percent)
 {
-    return static_cast<int>(pick(100)) < percent;
+    return static_cast<int>(randomIndex(100)) < percent;
 }
 
-size_t Fleet::pick(size_t count)
+size_t Fleet::randomIndex(size_t count)
 {
     return static_cast<size_t>(m_random() % count);
 }
--- a/packages/assignments/test/HistoryTest.cpp
+++ b/packages/assignments/test/HistoryTest.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-// Clocks that differ by ten parts in a hundred, so that drift shows within a short history.
+// Clocks that differ by up to ten percent, so that drift has an effect within a short history.
 Timing driftingTiming()
 {
     Timing timing;
@@ -32,7 +32,7 @@
 {
     stream << "seed " << history.seed << " versioned " << history.versionedList << ":";
     for (const auto& command : history.commands)
-        stream << " {" << static_cast<int>(command.action) << ", " << command.slot << ", " << toucanstep::base::toMilliseconds(command.then) << "}";
+        stream << " {" << static_cast<int>(command.action) << ", " << command.slot << ", " << toucanstep::base::toMilliseconds(command.runFor) << "}";
     return stream;
 }
 
@@ -45,11 +45,11 @@
 
 rc::Gen<Commands> anyCommand()
 {
-    // Running is the most frequent, so that what a fault starts has time to show.
+    // Run is the most frequent action, to give the effects of a fault time to appear.
     auto action = rc::gen::weightedOneOf<FleetAction>({
         { 6, rc::gen::just(FleetAction::Run) },
         { 2, rc::gen::element(FleetAction::Crash, FleetAction::Restart, FleetAction::Pause, FleetAction::Resume, FleetAction::Heal) },
-        { 4, rc::gen::element(FleetAction::Replace, FleetAction::ReplaceAndCut, FleetAction::ReplaceAndCut, FleetAction::Vanish) },
+        { 4, rc::gen::element(FleetAction::Replace, FleetAction::ReplaceAndCut, FleetAction::ReplaceAndCut, FleetAction::ReplaceAndCrash) },
         { 2, rc::gen::element(FleetAction::CutFromPeers, FleetAction::CutFromService, FleetAction::CutFromList) },
         { 1, rc::gen::element(FleetAction::StartOutage, FleetAction::EndOutage, FleetAction::EndOutage) },
         { 2, rc::gen::element(FleetAction::Release, FleetAction::HandOver) },
@@ -58,19 +58,19 @@
     return rc::gen::map(command, [](const FleetCommand& one) { return Commands { one }; });
 }
 
-// A dropped process that runs on, and a second fault about when its rows move.
+// A dropped process that keeps running, with a second fault around the time its rows move.
 rc::Gen<Commands> droppedProcess()
 {
     return rc::gen::exec([] {
         size_t slot = *rc::gen::inRange<size_t>(0, 5);
         auto fault = *rc::gen::element(FleetAction::StartOutage, FleetAction::CutFromService, FleetAction::Pause, FleetAction::Run);
-        auto mending = *rc::gen::element(FleetAction::Heal, FleetAction::Resume);
-        return Commands { { FleetAction::ReplaceAndCut, slot, *quarterSeconds(4, 24) }, { fault, slot, *quarterSeconds(0, 3) }, { mending, slot, *quarterSeconds(4, 14) }, { FleetAction::EndOutage, slot, *quarterSeconds(4, 14) } };
+        auto repair = *rc::gen::element(FleetAction::Heal, FleetAction::Resume);
+        return Commands { { FleetAction::ReplaceAndCut, slot, *quarterSeconds(4, 24) }, { fault, slot, *quarterSeconds(0, 3) }, { repair, slot, *quarterSeconds(4, 14) }, { FleetAction::EndOutage, slot, *quarterSeconds(4, 14) } };
     });
 }
 
-// A process that is dropped while only the service can be reached from it, and then not even that.
-rc::Gen<Commands> droppedWithServiceOnly()
+// A process that is dropped while it can reach only the service, and then loses the service too.
+rc::Gen<Commands> droppedWithStoreAccessOnly()
 {
     return rc::gen::exec([] {
         size_t slot = *rc::gen::inRange<size_t>(0, 5);
@@ -78,7 +78,7 @@
     });
 }
 
-// A release that may still lie on its way when a new process has started on the same instance.
+// A release that may still be in transit when a new process starts on the same instance.
 rc::Gen<Commands> restartAfterRelease()
 {
     return rc::gen::exec([] {
@@ -87,7 +87,7 @@
     });
 }
 
-// A release that may still lie on its way while its sender cannot read the service.
+// A release that may still be in transit while its sender cannot read the service.
 rc::Gen<Commands> releaseWhileCut()
 {
     return rc::gen::exec([] {
@@ -107,25 +107,25 @@
     return rc::gen::construct<History>(commands, rc::gen::inRange<uint64_t>(1, 1'000'000), rc::gen::arbitrary<bool>());
 }
 
-rc::Gen<Commands> anyPart()
+rc::Gen<Commands> anyCommands()
 {
-    return rc::gen::weightedOneOf<Commands>({ { 8, anyCommand() }, { 1, droppedProcess() }, { 1, droppedWithServiceOnly() }, { 1, restartAfterRelease() }, { 1, releaseWhileCut() } });
+    return rc::gen::weightedOneOf<Commands>({ { 8, anyCommand() }, { 1, droppedProcess() }, { 1, droppedWithStoreAccessOnly() }, { 1, restartAfterRelease() }, { 1, releaseWhileCut() } });
 }
 
-FleetOptions optionsOf(const History& history, const PartsFactory* parts)
+FleetOptions optionsOf(const History& history, const ComponentFactory* components)
 {
     FleetOptions options;
     options.timing = driftingTiming();
     options.seed = history.seed;
     options.versionedList = history.versionedList;
-    options.parts = parts;
+    options.components = components;
     return options;
 }
 
-// Plays the history and returns its violation, or an empty string.
-std::string play(const History& history, const PartsFactory* parts, int* takeovers = nullptr)
+// Runs the history and returns its violation, or an empty string.
+std::string runHistory(const History& history, const ComponentFactory* components, int* takeovers = nullptr)
 {
-    Fleet fleet(optionsOf(history, parts));
+    Fleet fleet(optionsOf(history, components));
     fleet.run(seconds(10));
     for (const auto& command : history.commands)
         fleet.perform(command);
@@ -135,16 +135,16 @@
     return fleet.violation();
 }
 
-// Looks for a violation by a fault, in histories of the parts that are made to bring it out.
-std::string findViolation(const PartsFactory& parts, const rc::Gen<Commands>& part)
+// Searches for a violation caused by a fault, in histories built from the given commands.
+std::string findViolation(const ComponentFactory& components, const rc::Gen<Commands>& part)
 {
     return counterexample(PropertyOptions { .seed = 5, .maxSuccess = 400, .maxSize = 20 }, [&] {
         auto history = *rc::gen::noShrink(historiesOf(part));
-        RC_ASSERT(play(history, &parts).empty());
+        RC_ASSERT(runHistory(history, &components).empty());
     });
 }
 
-// The faults that the histories must show.
+// Seeded faults that the histories must detect.
 
 class ServiceReadCounts final : public HolderState {
 public:
@@ -180,42 +180,42 @@
     }
 };
 
-class IgnoresListLag final : public AbsenceTracker {
+class IgnoresListLag final : public FailureDetector {
 public:
-    using AbsenceTracker::AbsenceTracker;
+    using FailureDetector::FailureDetector;
 
 protected:
-    bool absenceStood(const Watched& watched, Instant) const override { return watched.absentSince.has_value(); }
+    bool isAbsentLongEnough(const WatchedInstance& watched, Instant) const override { return watched.absentSince.has_value(); }
 };
 
-class NeedsNoPromise final : public AbsenceTracker {
+class NeedsNoPromise final : public FailureDetector {
 public:
-    using AbsenceTracker::AbsenceTracker;
+    using FailureDetector::FailureDetector;
 
 protected:
-    bool promisedByMajority(const Watched&, Instant) const override { return true; }
+    bool promisedByMajority(const WatchedInstance&, Instant) const override { return true; }
 };
 
-class TrustsOneAnswer final : public AbsenceTracker {
+class TrustsOneAnswer final : public FailureDetector {
 public:
-    using AbsenceTracker::AbsenceTracker;
+    using FailureDetector::FailureDetector;
 
 protected:
-    bool isDropped(const Watched& watched) const override { return watched.absentSince.has_value(); }
-    bool absenceStood(const Watched& watched, Instant) const override { return watched.absentSince.has_value(); }
-    bool promisedByMajority(const Watched& watched, Instant) const override { return !watched.replies.empty(); }
+    bool isDropped(const WatchedInstance& watched) const override { return watched.absentSince.has_value(); }
+    bool isAbsentLongEnough(const WatchedInstance& watched, Instant) const override { return watched.absentSince.has_value(); }
+    bool promisedByMajority(const WatchedInstance& watched, Instant) const override { return !watched.replies.empty(); }
 };
 
 template <typename FaultyHolder>
-class WithHolder : public PartsFactory {
+class WithHolder : public ComponentFactory {
 public:
     std::unique_ptr<HolderState> makeHolder(const Holder& self, const Timing& timing) const override { return std::make_unique<FaultyHolder>(self, timing); }
 };
 
-template <typename FaultyTracker>
-class WithTracker final : public PartsFactory {
+template <typename FaultyDetector>
+class WithDetector final : public ComponentFactory {
 public:
-    std::unique_ptr<AbsenceTracker> makeTracker(const Timing& timing) const override { return std::make_unique<FaultyTracker>(timing); }
+    std::unique_ptr<FailureDetector> makeDetector(const Timing& timing) const override { return std::make_unique<FaultyDetector>(timing); }
 };
 
 class WithoutAdoption final : public WithHolder<UsesPredecessorsRows> {
@@ -231,18 +231,18 @@
 {
     int takeovers = 0;
     CHECK_PROPERTY_WITH((PropertyOptions { .seed = 20261202, .maxSuccess = 300, .maxSize = 60 }), [&] {
-        auto history = *historiesOf(anyPart());
-        auto violation = play(history, nullptr, &takeovers);
+        auto history = *historiesOf(anyCommands());
+        auto violation = runHistory(history, nullptr, &takeovers);
         if (!violation.empty())
             RC_FAIL(violation);
     });
-    // Without rows that move the property would say nothing.
+    // Without takeovers the property would prove nothing.
     CHECK_COMPARE(takeovers, >, 200);
 }
 
 TEST(Histories, AFaultWhereServiceReadsCountAsPresenceIsFound)
 {
-    CHECK_FALSE(findViolation(WithHolder<ServiceReadCounts>(), droppedWithServiceOnly()).empty());
+    CHECK_FALSE(findViolation(WithHolder<ServiceReadCounts>(), droppedWithStoreAccessOnly()).empty());
 }
 
 TEST(Histories, AFaultWhereAHolderNeverStopsIsFound)
@@ -262,15 +262,15 @@
 
 TEST(Histories, AFaultWhereTheListsLagIsIgnoredIsFound)
 {
-    CHECK_FALSE(findViolation(WithTracker<IgnoresListLag>(), droppedProcess()).empty());
+    CHECK_FALSE(findViolation(WithDetector<IgnoresListLag>(), droppedProcess()).empty());
 }
 
 TEST(Histories, AFaultWhereVotersNeedNotPromiseIsFound)
 {
-    CHECK_FALSE(findViolation(WithTracker<NeedsNoPromise>(), droppedProcess()).empty());
+    CHECK_FALSE(findViolation(WithDetector<NeedsNoPromise>(), droppedProcess()).empty());
 }
 
 TEST(Histories, AFaultWhereOneAnswerOfTheListIsEnoughIsFound)
 {
-    CHECK_FALSE(findViolation(WithTracker<TrustsOneAnswer>(), anyPart()).empty());
+    CHECK_FALSE(findViolation(WithDetector<TrustsOneAnswer>(), anyCommands()).empty());
 }
--- a/packages/assignments/test/StoryTest.cpp
+++ b/packages/assignments/test/ScenarioTest.cpp
@@ -12,15 +12,15 @@
 
 namespace {
 
-FleetOptions calmOptions(RowRule rule = RowRule::ListAndVoters)
+FleetOptions reliableNetworkOptions(OwnershipProtocol protocol = OwnershipProtocol::ListAndVoters)
 {
     FleetOptions options;
     options.lossyNetwork = false;
-    options.rule = rule;
+    options.protocol = protocol;
     return options;
 }
 
-// A fleet in which every row has found its holder.
+// Returns a fleet in which every row has a holder.
 std::unique_ptr<Fleet> settledFleet(const FleetOptions& options)
 {
     auto fleet = std::make_unique<Fleet>(options);
@@ -41,41 +41,42 @@
 
 } // namespace
 
-TEST_GROUP(Stories) {};
+TEST_GROUP(Scenarios) {};
 
-// The key-value service is down for ten minutes and nothing else fails. With leases, every share lapses and callers
-// within their rate are refused all over the fleet. Here nothing lapses, because holders hear the list and the voters.
-TEST(Stories, AnOutageAloneStopsNoHolder)
+// Guards against rows expiring during a ten-minute outage of the key-value service. With leases, every share would
+// expire and callers within their rate would be refused throughout the fleet. Here the list and the voters keep the
+// holders in use.
+TEST(Scenarios, AnOutageAloneStopsNoHolder)
 {
-    auto fleet = settledFleet(calmOptions());
+    auto fleet = settledFleet(reliableNetworkOptions());
     fleet->perform({ FleetAction::StartOutage, 0, minutes(10) });
     CHECK_EQUAL(0, fleet->unusable().count());
     STRCMP_EQUAL("", fleet->violation().c_str());
 }
 
-// The list cannot be reached by one holder and the service is down for all. Callers would see its rows unused although
-// the process is well; the gateways that hear it vouch for it.
-TEST(Stories, AHolderWithoutListAndServiceGoesOnByTheVotersWord)
+// One holder cannot reach the list while the service is down. Its rows must stay in use, because the gateways that
+// receive its requests vouch for it.
+TEST(Scenarios, AHolderWithoutListAndServiceContinuesOnVotesAlone)
 {
-    auto fleet = settledFleet(calmOptions());
+    auto fleet = settledFleet(reliableNetworkOptions());
     fleet->perform({ FleetAction::CutFromList, *fleet->userOf(0), {} });
     fleet->perform({ FleetAction::StartOutage, 0, minutes(5) });
     CHECK_EQUAL(0, fleet->unusable().count());
 }
 
-// A holder dies while the service is down. Its own rows wait for the service's return, because nobody can write; the
-// other rows stay in use, and afterwards the rows of the dead come back without two users.
-TEST(Stories, ADeathInAnOutageCostsOnlyTheRowsOfTheDead)
+// A holder dies while the service is down. Its rows stay unused until the service returns, because nothing can be
+// written; all other rows stay in use. Afterwards the rows of the dead holder recover without two users.
+TEST(Scenarios, ACrashInAnOutageStopsOnlyTheRowsOfTheCrashedHolder)
 {
-    auto fleet = settledFleet(calmOptions());
-    size_t dead = *fleet->userOf(0);
+    auto fleet = settledFleet(reliableNetworkOptions());
+    size_t crashed = *fleet->userOf(0);
     std::vector<size_t> others;
     for (size_t row = 1; row < 3; ++row) {
-        if (fleet->userOf(row) != dead)
+        if (fleet->userOf(row) != crashed)
             others.push_back(row);
     }
     fleet->perform({ FleetAction::StartOutage, 0, seconds(10) });
-    fleet->perform({ FleetAction::Vanish, dead, {} });
+    fleet->perform({ FleetAction::ReplaceAndCrash, crashed, {} });
     for (int step = 0; step < 240; ++step) {
         fleet->run(milliseconds(250));
         CHECK_FALSE(fleet->userOf(0).has_value());
@@ -87,12 +88,12 @@
     STRCMP_EQUAL("", fleet->violation().c_str());
 }
 
-// A virtual machine is paused with a row in hand; the platform replaces it, another process takes the row, and the
-// paused one goes on where it stopped. Two processes would admit the same account's tokens. The check of the time
-// directly before each use stops the former holder at its first step.
-TEST(Stories, AHolderThatWasPausedAndReplacedDoesNotUseItsRowAgain)
+// A virtual machine is paused while holding a row, the platform replaces it, another process takes the row over, and
+// the paused one resumes. Both would then admit the same account's tokens. Checking the time directly before each use
+// stops the previous holder at its first step.
+TEST(Scenarios, AHolderThatWasPausedAndReplacedDoesNotUseItsRowAgain)
 {
-    auto fleet = settledFleet(calmOptions());
+    auto fleet = settledFleet(reliableNetworkOptions());
     size_t holder = *fleet->userOf(0);
     fleet->perform({ FleetAction::Pause, holder, {} });
     fleet->perform({ FleetAction::Replace, holder, {} });
@@ -101,11 +102,11 @@
     STRCMP_EQUAL("", fleet->violation().c_str());
 }
 
-// A pause of half a minute in the middle of an outage, on an instance that the list still shows. The list alone does not
-// bring the rows back, because they could have moved; the voters, who would have promised a taker, do.
-TEST(Stories, APauseInAnOutageDoesNotStopAHolderForLong)
+// A holder whose instance is still listed pauses for 30 seconds during an outage. The list alone does not restore use,
+// because the rows could have moved; the voters do, since they would have promised any taker.
+TEST(Scenarios, APauseInAnOutageDoesNotStopAHolderForLong)
 {
-    auto fleet = settledFleet(calmOptions());
+    auto fleet = settledFleet(reliableNetworkOptions());
     size_t holder = *fleet->userOf(0);
     fleet->perform({ FleetAction::StartOutage, 0, seconds(5) });
     fleet->perform({ FleetAction::Pause, holder, seconds(30) });
@@ -114,12 +115,12 @@
     STRCMP_EQUAL("", fleet->violation().c_str());
 }
 
-// The platform drops an instance that is cut from everything and runs on. Whoever still holds a connection to it would
-// be served beside the new holder; it stops by its own clock before its rows move.
-TEST(Stories, ADroppedProcessThatRunsOnStopsBeforeItsRowsMove)
+// The platform drops an instance that is disconnected but keeps running. Clients still connected to it would be served
+// alongside the new holder, so it must stop by its own clock before its rows move.
+TEST(Scenarios, ADroppedProcessThatRunsOnStopsBeforeItsRowsMove)
 {
     for (uint64_t seed = 1; seed <= 20; ++seed) {
-        FleetOptions options = calmOptions();
+        FleetOptions options = reliableNetworkOptions();
         options.seed = seed;
         auto fleet = settledFleet(options);
         size_t holder = *fleet->userOf(0);
@@ -133,11 +134,11 @@
     }
 }
 
-// A process restarts on the same instance while the service is down. Its predecessor's rows must not be used before one
-// read, because it cannot know whether they were given away; they come back once the service does.
-TEST(Stories, ARestartInAnOutageWaitsForOneReadOfTheService)
+// A process restarts on the same instance while the service is down. It must read the service once before using its
+// predecessor's rows, because they may have been reassigned. The rows are usable again once the service returns.
+TEST(Scenarios, ARestartInAnOutageWaitsForOneReadOfTheService)
 {
-    auto fleet = settledFleet(calmOptions());
+    auto fleet = settledFleet(reliableNetworkOptions());
     size_t holder = *fleet->userOf(0);
     fleet->perform({ FleetAction::StartOutage, 0, seconds(1) });
     fleet->perform({ FleetAction::Restart, holder, seconds(60) });
@@ -147,30 +148,30 @@
     CHECK_TRUE(fleet->userOf(0) == holder);
 }
 
-// What each failure costs with leases that expire and with this rule: the share of rows x time without a user. The
-// figures of docs/design/assignments.md come from this test.
-TEST(Stories, AgainstLeasesThatExpire)
+// Measures the fraction of row-time without a user for each failure, with expiring leases and with this protocol. The
+// figures in docs/design/assignments.md come from this test.
+TEST(Scenarios, ComparedWithExpiringLeases)
 {
     struct Cost {
         double outage;
-        double outageAndDeath;
+        double outageAndCrash;
         double recovery;
     };
-    auto measure = [](RowRule rule) {
-        auto outage = settledFleet(calmOptions(rule));
+    auto measure = [](OwnershipProtocol protocol) {
+        auto outage = settledFleet(reliableNetworkOptions(protocol));
         outage->perform({ FleetAction::StartOutage, 0, seconds(60) });
-        auto both = settledFleet(calmOptions(rule));
+        auto both = settledFleet(reliableNetworkOptions(protocol));
         both->perform({ FleetAction::StartOutage, 0, seconds(10) });
-        both->perform({ FleetAction::Vanish, *both->userOf(0), seconds(50) });
-        auto death = settledFleet(calmOptions(rule));
-        death->perform({ FleetAction::Vanish, *death->userOf(0), {} });
-        Cost cost { toSeconds(outage->unusable()) / toSeconds(outage->observed()), toSeconds(both->unusable()) / toSeconds(both->observed()), toSeconds(untilUsable(*death, 0, minutes(3))) };
-        UT_PRINT(StringFromFormat("%s: unused rows x time in a 60 s outage %.3f, with a death in it %.3f; recovery after a death %.2f s", rule == RowRule::LeaseExpiry ? "leases" : "list and voters", cost.outage, cost.outageAndDeath, cost.recovery));
+        both->perform({ FleetAction::ReplaceAndCrash, *both->userOf(0), seconds(50) });
+        auto crash = settledFleet(reliableNetworkOptions(protocol));
+        crash->perform({ FleetAction::ReplaceAndCrash, *crash->userOf(0), {} });
+        Cost cost { toSeconds(outage->unusable()) / toSeconds(outage->observed()), toSeconds(both->unusable()) / toSeconds(both->observed()), toSeconds(untilUsable(*crash, 0, minutes(3))) };
+        UT_PRINT(StringFromFormat("%s: fraction of row-time unused in a 60 s outage %.3f, with a crash during it %.3f; recovery after a crash %.2f s", protocol == OwnershipProtocol::LeaseExpiry ? "leases" : "list and voters", cost.outage, cost.outageAndCrash, cost.recovery));
         return cost;
     };
-    Cost leases = measure(RowRule::LeaseExpiry);
-    Cost ours = measure(RowRule::ListAndVoters);
-    CHECK_EQUAL(0.0, ours.outage);
+    Cost leases = measure(OwnershipProtocol::LeaseExpiry);
+    Cost listAndVoters = measure(OwnershipProtocol::ListAndVoters);
+    CHECK_EQUAL(0.0, listAndVoters.outage);
     CHECK_COMPARE(leases.outage, >, 0.5);
-    CHECK_COMPARE(ours.outageAndDeath, <, leases.outageAndDeath);
+    CHECK_COMPARE(listAndVoters.outageAndCrash, <, leases.outageAndCrash);
 }
--- a/packages/assignments/test/UnitTest.cpp
+++ b/packages/assignments/test/UnitTest.cpp
@@ -22,12 +22,12 @@
     return Instant(std::chrono::hours(1) + time);
 }
 
-Exchange sentAt(Duration time)
+RequestWindow sentAt(Duration time)
 {
     return { at(time), at(time + seconds(1)) };
 }
 
-Electorates electoratesOf(const std::set<InstanceId>& members)
+VoterSets voterSetsOf(const std::set<InstanceId>& members)
 {
     return { { Generation(1), members }, std::nullopt, Revision(3) };
 }
@@ -38,7 +38,7 @@
 
 TEST_GROUP(Rows) {};
 
-TEST(Rows, KeysAndValuesReadBackAsTheSameRow)
+TEST(Rows, EncodedRowsRoundTrip)
 {
     CHECK_PROPERTY([](const std::string& subject, uint32_t slot, const std::string& payload) {
         Row row { { RowKind::ReplicaSlot, subject, slot }, self, Epoch(7), WriteNonce("n"), payload, Revision(9) };
@@ -49,7 +49,7 @@
     });
 }
 
-TEST(Rows, TextThatIsNoRowIsRefused)
+TEST(Rows, MalformedRowsAreRejected)
 {
     CHECK_PROPERTY([](const std::string& key, const std::string& value) {
         Error error;
@@ -62,18 +62,18 @@
         CHECK_FALSE(valueOr(error, [&] { return parseStorageKey(key); }).has_value());
 }
 
-// A value of nested arrays, one byte each. The parser would call itself for each until the stack is used up.
-TEST(Rows, DeeplyNestedBytesAreRefused)
+// A value of nested arrays, one byte per level. A recursive parser would overflow the stack.
+TEST(Rows, DeeplyNestedValuesAreRejected)
 {
     Error error;
     CHECK_FALSE(valueOr(error, [&] { return decodeRow(KeyValue { storageKey(share), std::string(1'000'000, '\x91'), {}, {} }); }).has_value());
 }
 
-TEST_GROUP(Tables) {};
+TEST_GROUP(AssignmentTables) {};
 
-// Watch events and reads arrive crossed, one twice, from connections of different age. Whatever the order, the table
-// ends with what the newest of them said; an older row must not come back, because its holder may use it.
-TEST(Tables, OlderAnswersNeverReplaceNewerOnes)
+// Watch events and reads arrive out of order and some twice, over connections of different age. In any order, the
+// table must end with the newest state: if an older row came back, its holder might use it.
+TEST(AssignmentTables, OlderAnswersNeverReplaceNewerOnes)
 {
     CHECK_PROPERTY([] {
         struct Change {
@@ -82,7 +82,7 @@
         };
         auto changes = *rc::gen::container<std::vector<Change>>(rc::gen::construct<Change>(rc::gen::arbitrary<bool>(), rc::gen::inRange(0, 3)));
         std::map<int, std::optional<Row>> truth;
-        std::vector<std::function<void(AssignmentTable&)>> news;
+        std::vector<std::function<void(AssignmentTable&)>> updates;
         int64_t revision = 0;
         for (const auto& change : changes) {
             ++revision;
@@ -90,20 +90,20 @@
             truth[change.slot] = change.deleted ? std::nullopt : std::optional(row);
             WatchEvent event { entryOf(row), change.deleted };
             Revision current(revision);
-            news.push_back([event, current](AssignmentTable& table) { table.applyEvents({ event }, current); });
+            updates.push_back([event, current](AssignmentTable& table) { table.applyEvents({ event }, current); });
             RangeReply reply { {}, current };
             for (const auto& [slot, known] : truth) {
                 if (known)
                     reply.entries.push_back(entryOf(*known));
             }
-            news.push_back([reply](AssignmentTable& table) { table.applyRange(allRowsPrefix, reply); });
+            updates.push_back([reply](AssignmentTable& table) { table.applyRange(allRowsPrefix, reply); });
         }
-        auto order = *rc::gen::container<std::vector<size_t>>(news.size() * 2, rc::gen::inRange<size_t>(0, std::max<size_t>(1, news.size())));
+        auto order = *rc::gen::container<std::vector<size_t>>(updates.size() * 2, rc::gen::inRange<size_t>(0, std::max<size_t>(1, updates.size())));
         AssignmentTable table;
-        if (!news.empty())
-            news.back()(table);
+        if (!updates.empty())
+            updates.back()(table);
         for (size_t index : order)
-            news[index](table);
+            updates[index](table);
         for (const auto& [slot, expected] : truth) {
             const Row* found = table.find({ RowKind::LimitShare, "a", static_cast<uint32_t>(slot) });
             RC_ASSERT((found ? std::optional(*found) : std::nullopt) == expected);
@@ -111,39 +111,39 @@
     });
 }
 
-TEST_GROUP(Moving) {};
+TEST_GROUP(Movers) {};
 
-// The answer to a claim is lost, and so is every hint of whether it was carried out. Claimed again blindly, the row would
-// have two writers' views; read back, the nonce tells.
-TEST(Moving, ALostAnswerIsSettledByTheNonce)
+// The answer to a claim is lost, so its outcome is unknown. Claiming again blindly would leave two views of the
+// writer; reading the row back resolves the outcome by its nonce.
+TEST(Movers, ALostAnswerIsResolvedByTheNonce)
 {
     Mover mover(self);
     Move move = mover.claim(share, "", Revision(5));
     CHECK_TRUE(mover.onOutcome(move.id, Error { ErrorKind::Timeout, "" }) == MoveState::NeedsRead);
     const auto& put = std::get<PutOperation>(move.transaction.operations[0]);
     CHECK_TRUE(mover.onRead(move.id, RangeReply { { { put.key, put.value, Revision(6), Revision(6) } }, Revision(8) }) == MoveState::Committed);
-    CHECK_EQUAL(6, mover.written(move.id)->modified.value());
-    CHECK_EQUAL(6, mover.written(move.id)->epoch.value());
+    CHECK_EQUAL(6, mover.writtenRow(move.id)->modified.value());
+    CHECK_EQUAL(6, mover.writtenRow(move.id)->epoch.value());
 }
 
-// The read that follows a lost answer overtakes the transaction, which lies on its way: the read shows nothing, a second
-// claim is sent, and then the first takes effect. Both compare the same revision, so one fails and the row is held once.
-TEST(Moving, AReadThatOvertakesTheTransactionSettlesNothing)
+// The read after a lost answer overtakes the transaction: it shows no row, a second claim is sent, and then the first
+// takes effect. Both compare the same revision, so one fails and the row has one holder.
+TEST(Movers, AReadThatOvertakesTheTransactionLeavesItInDoubt)
 {
     Mover mover(self);
     Move first = mover.claim(share, "", Revision(5));
     mover.onOutcome(first.id, Error { ErrorKind::Timeout, "" });
-    CHECK_TRUE(mover.onRead(first.id, RangeReply { {}, Revision(5) }) == MoveState::Unsettled);
+    CHECK_TRUE(mover.onRead(first.id, RangeReply { {}, Revision(5) }) == MoveState::InDoubt);
     Move second = mover.claim(share, "", Revision(5));
     const auto& put = std::get<PutOperation>(first.transaction.operations[0]);
     CHECK_TRUE(mover.onOutcome(second.id, TransactionReply { false, Revision(6) }) == MoveState::Failed);
     CHECK_TRUE(mover.onRead(first.id, RangeReply { { { put.key, put.value, Revision(6), Revision(6) } }, Revision(6) }) == MoveState::Committed);
-    CHECK_EQUAL(0, mover.unsettled());
+    CHECK_EQUAL(0, mover.unfinishedCount());
 }
 
-// A release's answer is lost and a read still shows the row. Used again it would be freed under its user when the release
-// arrives, so it stays given up until a new revision names this process.
-TEST(Moving, AReleasedRowIsNotUsedAgainAtTheSameRevision)
+// The answer to a release is lost and a read still shows the row. If the row were used again, the late release would
+// delete it while in use. It stays relinquished until a new revision names this process.
+TEST(Movers, AReleasedRowIsNotUsedAgainAtTheSameRevision)
 {
     HolderState holder(self, Timing {});
     Mover mover(self);
@@ -154,18 +154,18 @@
     Move move = mover.release(row, holder);
     CHECK_FALSE(holder.mayUse(row, at(seconds(1))));
     mover.onOutcome(move.id, Error { ErrorKind::Timeout, "" });
-    CHECK_TRUE(mover.onRead(move.id, RangeReply { { entryOf(row) }, Revision(4) }) == MoveState::Unsettled);
+    CHECK_TRUE(mover.onRead(move.id, RangeReply { { entryOf(row) }, Revision(4) }) == MoveState::InDoubt);
     CHECK_FALSE(holder.mayUse(row, at(seconds(1))));
-    CHECK_TRUE(holder.hasGivenUp(row));
+    CHECK_TRUE(holder.hasRelinquished(row));
     row.modified = Revision(9);
     CHECK_TRUE(holder.mayUse(row, at(seconds(1))));
 }
 
-TEST_GROUP(Holding) {};
+TEST_GROUP(HolderStates) {};
 
-// An answer of the list that was asked for long ago arrives after its deadline, for example because the process was
-// paused. It says where the instance stood then, and must not prolong the use of rows now.
-TEST(Holding, AnAnswerAfterItsDeadlineIsNotUsed)
+// A list answer arrives after its deadline, for example because the process was paused. It shows an old state and must
+// not extend the use of rows.
+TEST(HolderStates, AnAnswerAfterItsDeadlineIsIgnored)
 {
     HolderState holder(self, Timing {});
     Row row { share, self, Epoch(4), WriteNonce("n"), "", Revision(4) };
@@ -177,28 +177,28 @@
     CHECK_FALSE(holder.mayUse(row, at(seconds(7) + milliseconds(1))));
 }
 
-// A holder is dropped and marked, its row is taken, the list shows it again by mistake and the mark is lifted; the holder
-// was paused through all of it. The list's next answer alone must not bring back the use of a row that has moved.
-TEST(Holding, AfterAGapTheListAloneDoesNotBringUseBack)
+// A holder is dropped and marked, its row is taken over, the list shows it again by mistake, and the mark is deleted,
+// all while the holder is paused. The next list answer alone must not restore use of a row that has moved.
+TEST(HolderStates, AfterAGapTheListAloneDoesNotRestoreUse)
 {
     HolderState holder(self, Timing {});
     Row row { share, self, Epoch(4), WriteNonce("n"), "", Revision(4) };
-    holder.onServiceRead(sentAt({}), at({}), Revision(4), false, electoratesOf(threeVoters));
+    holder.onServiceRead(sentAt({}), at({}), Revision(4), false, voterSetsOf(threeVoters));
     holder.onListAnswer(sentAt({}), at({}), 1, true);
     CHECK_TRUE(holder.mayUse(row, at(seconds(5))));
     holder.onListAnswer(sentAt(seconds(30)), at(seconds(30)), 2, true);
     CHECK_FALSE(holder.mayUse(row, at(seconds(30))));
     CHECK_TRUE(holder.hasLapsed(at(seconds(30))));
-    // A read that was asked for before the gap ended says nothing about it.
+    // A read requested before the gap ended proves nothing about it.
     holder.onServiceRead(sentAt(seconds(4)), at(seconds(4)), Revision(8), false, std::nullopt);
     CHECK_FALSE(holder.mayUse(row, at(seconds(30))));
     holder.onServiceRead(sentAt(seconds(30)), at(seconds(30)), Revision(9), false, std::nullopt);
     CHECK_TRUE(holder.mayUse(row, at(seconds(30))));
 }
 
-// The mark against an instance stands while the list shows it again. The process stops, may lift the mark itself, and uses
-// its rows only after it has read them without the mark.
-TEST(Holding, AMarkedHolderStopsUntilItHasReadThatTheMarkIsLifted)
+// A gone mark exists for an instance that the list shows again. The process stops, may delete the mark itself, and
+// uses its rows only after reading them without the mark.
+TEST(HolderStates, AMarkedHolderStopsUntilItHasReadThatTheMarkIsLifted)
 {
     HolderState holder(self, Timing {});
     Row row { share, self, Epoch(4), WriteNonce("n"), "", Revision(4) };
@@ -214,13 +214,13 @@
     CHECK_TRUE(holder.mayUse(row, at(seconds(2))));
 }
 
-// Two voters of three vouch, one of them under a newer set than the holder knows. That one has promised to vouch under
-// the holder's set no more, so the two are no majority.
-TEST(Holding, AVoterOfANewerSetDoesNotCountForTheFormer)
+// Two of three voters vouch, one of them under a newer set than the holder knows. That voter has promised to stop
+// vouching under the holder's set, so the two are not a majority.
+TEST(HolderStates, AVoterOfANewerSetDoesNotCountForThePreviousSet)
 {
     HolderState holder(self, Timing {});
     Row row { share, self, Epoch(4), WriteNonce("n"), "", Revision(4) };
-    holder.onServiceRead(sentAt({}), at({}), Revision(4), false, electoratesOf(threeVoters));
+    holder.onServiceRead(sentAt({}), at({}), Revision(4), false, voterSetsOf(threeVoters));
     holder.onVoterAnswer(sentAt({}), at({}), InstanceId("x"), Generation(1), true);
     holder.onVoterAnswer(sentAt({}), at({}), InstanceId("y"), Generation(2), true);
     CHECK_FALSE(holder.mayUse(row, at({})));
@@ -228,14 +228,14 @@
     CHECK_TRUE(holder.mayUse(row, at({})));
 }
 
-// A holder's rows have moved under the former voters' promises. It hears of the new set from a gateway, and asks a new
-// member that has not read the service since it became one, and so knows nothing of the mark. Its word must not count.
-TEST(Holding, AVoterThatDoesNotKnowTheSetYetDoesNotCount)
+// A holder's rows have moved under promises of the previous voters. It learns the new set from a gateway and asks a
+// new member that has not read the service since joining and so does not know the mark. That vote must not count.
+TEST(HolderStates, AVoterWithAnOlderSetDoesNotCount)
 {
     HolderState holder(self, Timing {});
     Row row { share, self, Epoch(4), WriteNonce("n"), "", Revision(4) };
-    holder.onServiceRead(sentAt({}), at({}), Revision(4), false, electoratesOf(threeVoters));
-    holder.onElectorate({ Generation(2), { InstanceId("p"), InstanceId("q"), InstanceId("r") } });
+    holder.onServiceRead(sentAt({}), at({}), Revision(4), false, voterSetsOf(threeVoters));
+    holder.onVoterSet({ Generation(2), { InstanceId("p"), InstanceId("q"), InstanceId("r") } });
     holder.onVoterAnswer(sentAt({}), at({}), InstanceId("p"), Generation(1), true);
     holder.onVoterAnswer(sentAt({}), at({}), InstanceId("q"), Generation(0), true);
     CHECK_FALSE(holder.mayUse(row, at({})));
@@ -244,7 +244,7 @@
     CHECK_TRUE(holder.mayUse(row, at({})));
 }
 
-TEST(Holding, TheDefaultTimesLeaveRoomForDrift)
+TEST(HolderStates, TheDefaultTimesLeaveRoomForDrift)
 {
     Timing timing;
     CHECK_TRUE(isSafe(timing));
@@ -252,101 +252,102 @@
     CHECK_FALSE(isSafe(timing));
 }
 
-TEST_GROUP(Voting) {};
+TEST_GROUP(VoterStates) {};
 
-// A gateway promises a taker, dies, and starts again while the service is down. Its predecessor's promise is forgotten;
-// were it to vouch, the former holder would use a row that has moved.
-TEST(Voting, AVoterThatHasNotReadTheMarksVouchesForNobody)
+// A gateway promises a taker, dies, and restarts while the service is down, losing its promise. If it vouched, the
+// previous holder would use a row that has moved.
+TEST(VoterStates, AVoterThatHasNotReadTheMarksVouchesForNobody)
 {
     VoterState voter(InstanceId("x"), Timing {}, at({}));
     voter.onListed(at({}));
     CHECK_FALSE(voter.vouchFor(InstanceId("a"), at(seconds(1))));
-    voter.onServiceRead(Revision(8), { { InstanceId("a"), Revision(7) } }, electoratesOf(threeVoters));
+    voter.onServiceRead(Revision(8), { { InstanceId("a"), Revision(7) } }, voterSetsOf(threeVoters));
     CHECK_FALSE(voter.vouchFor(InstanceId("a"), at(seconds(1))));
     CHECK_TRUE(voter.vouchFor(InstanceId("b"), at(seconds(1))));
 }
 
-// A read of the service that began before the mark was written arrives after the promise. It does not undo the promise;
-// a read after the mark was lifted does.
-TEST(Voting, APromiseStandsUntilItsMarkIsKnownToBeLifted)
+// A service read that began before the mark was written arrives after the promise and must not cancel it. A read after
+// the mark was deleted must.
+TEST(VoterStates, APromiseStandsUntilItsMarkIsKnownToBeLifted)
 {
     VoterState voter(InstanceId("x"), Timing {}, at({}));
     voter.onListed(at({}));
-    voter.onServiceRead(Revision(5), {}, electoratesOf(threeVoters));
+    voter.onServiceRead(Revision(5), {}, voterSetsOf(threeVoters));
     CHECK_TRUE(voter.vouchFor(InstanceId("a"), at(seconds(1))));
-    VoterReply reply = voter.onQuestion(InstanceId("a"), Revision(7), at(seconds(3)));
+    VoterReply reply = voter.onAbsenceQuery(InstanceId("a"), Revision(7), at(seconds(3)));
     CHECK_EQUAL(7, reply.promisedUnder.value());
-    CHECK_TRUE(reply.unheard == seconds(2));
-    voter.onServiceRead(Revision(6), {}, electoratesOf(threeVoters));
+    CHECK_TRUE(reply.silentFor == seconds(2));
+    voter.onServiceRead(Revision(6), {}, voterSetsOf(threeVoters));
     CHECK_FALSE(voter.vouchFor(InstanceId("a"), at(seconds(4))));
-    voter.onServiceRead(Revision(9), {}, electoratesOf(threeVoters));
+    voter.onServiceRead(Revision(9), {}, voterSetsOf(threeVoters));
     CHECK_TRUE(voter.vouchFor(InstanceId("a"), at(seconds(5))));
 }
 
-// The marks and the electorates are read by two requests, and between them a mark is written and this gateway becomes a
-// voter. It does not know the mark; were its vote to count at once, it would vouch for the instance whose rows move.
-TEST(Voting, AnElectorateNewerThanTheMarksIsLeftForTheNextRead)
+// Marks and voter sets are read by two requests, and between them a mark is written and this gateway becomes a voter.
+// If its vote counted at once, it would vouch for the instance whose rows are moving, because it does not know the
+// mark.
+TEST(VoterStates, VoterSetsNewerThanTheMarksAreLeftForTheNextRead)
 {
     VoterState voter(InstanceId("x"), Timing {}, at({}));
     voter.onListed(at({}));
-    Electorates electorates = electoratesOf(threeVoters);
-    voter.onServiceRead(Revision(2), {}, electorates);
+    VoterSets voterSets = voterSetsOf(threeVoters);
+    voter.onServiceRead(Revision(2), {}, voterSets);
     CHECK_TRUE(voter.generation() == Generation(0));
-    voter.onServiceRead(Revision(3), {}, electorates);
+    voter.onServiceRead(Revision(3), {}, voterSets);
     CHECK_TRUE(voter.generation() == Generation(1));
 }
 
-TEST_GROUP(Absence) {};
+TEST_GROUP(FailureDetectors) {};
 
-// The list's copies differ: one answer without the instance comes from a copy that has not seen it start. Without versions
-// only absence for longer than the lag says that it was dropped; an answer that shows it starts the time again.
-TEST(Absence, AnAnswerThatGoesBackIsNoProofThatAnInstanceWasDropped)
+// An answer without the instance comes from a list replica that has not yet seen it start. Without versions, only
+// absence for longer than the lag proves that it was dropped, and an answer that shows it restarts that time.
+TEST(FailureDetectors, AStaleListAnswerDoesNotProveThatAnInstanceWasDropped)
 {
-    AbsenceTracker tracker(Timing {});
+    FailureDetector detector(Timing {});
     InstanceId instance("a");
-    tracker.watch(instance, at({}));
+    detector.watch(instance, at({}));
     for (int second = 0; second < 9; ++second)
-        tracker.onListAnswer(sentAt(seconds(second)), at(seconds(second)), std::nullopt, {});
-    tracker.onListAnswer(sentAt(seconds(9)), at(seconds(9)), std::nullopt, { instance });
+        detector.onListAnswer(sentAt(seconds(second)), at(seconds(second)), std::nullopt, {});
+    detector.onListAnswer(sentAt(seconds(9)), at(seconds(9)), std::nullopt, { instance });
     for (int second = 10; second <= 20; ++second) {
-        tracker.onListAnswer(sentAt(seconds(second)), at(seconds(second)), std::nullopt, {});
-        CHECK_FALSE(tracker.listHasDropped(instance));
+        detector.onListAnswer(sentAt(seconds(second)), at(seconds(second)), std::nullopt, {});
+        CHECK_FALSE(detector.listHasDropped(instance));
     }
-    tracker.onListAnswer(sentAt(seconds(21)), at(seconds(21)), std::nullopt, {});
-    CHECK_TRUE(tracker.listHasDropped(instance));
+    detector.onListAnswer(sentAt(seconds(21)), at(seconds(21)), std::nullopt, {});
+    CHECK_TRUE(detector.listHasDropped(instance));
 }
 
-// With versions an answer older than the one that showed the instance is left aside, however late it comes.
-TEST(Absence, AnOlderVersionIsLeftAside)
+// With versions, an answer older than the one that showed the instance is ignored, however late it arrives.
+TEST(FailureDetectors, AnOlderVersionIsIgnored)
 {
-    AbsenceTracker tracker(Timing {});
+    FailureDetector detector(Timing {});
     InstanceId instance("a");
-    tracker.watch(instance, at({}));
-    tracker.onListAnswer(sentAt({}), at({}), 5, { instance });
-    tracker.onListAnswer(sentAt(seconds(1)), at(seconds(1)), 4, {});
-    CHECK_FALSE(tracker.listHasDropped(instance));
-    tracker.onListAnswer(sentAt(seconds(2)), at(seconds(2)), 6, {});
-    CHECK_TRUE(tracker.listHasDropped(instance));
-    CHECK_TRUE(tracker.phase(instance, at(seconds(2))) == AbsencePhase::Absent);
+    detector.watch(instance, at({}));
+    detector.onListAnswer(sentAt({}), at({}), 5, { instance });
+    detector.onListAnswer(sentAt(seconds(1)), at(seconds(1)), 4, {});
+    CHECK_FALSE(detector.listHasDropped(instance));
+    detector.onListAnswer(sentAt(seconds(2)), at(seconds(2)), 6, {});
+    CHECK_TRUE(detector.listHasDropped(instance));
+    CHECK_TRUE(detector.phase(instance, at(seconds(2))) == FailurePhase::Absent);
 }
 
-TEST_GROUP(Electing) {};
+TEST_GROUP(VoterSetChanges) {};
 
-// All gateways are replaced within minutes. Were the sets simply swapped, a holder that is cut off with the former
-// gateways and a taker that asks the new ones would each have a majority.
-TEST(Electing, AFormerSetIsKeptUntilItsMajorityHasPromised)
+// All gateways are replaced within minutes. If the sets were simply swapped, a holder cut off with the previous
+// gateways and a taker asking the new ones would each have a majority.
+TEST(VoterSetChanges, APreviousSetIsKeptUntilItsMajorityHasPromised)
 {
-    Electorates known = electoratesOf(threeVoters);
+    VoterSets known = voterSetsOf(threeVoters);
     std::set<InstanceId> next { InstanceId("p"), InstanceId("q"), InstanceId("r") };
-    auto change = changeElectorate(known, next);
+    auto change = changeVoterSet(known, next);
     CHECK_TRUE(change.has_value());
     Error error;
     const auto& put = std::get<PutOperation>(change->operations[0]);
-    auto changed = valueOr(error, [&] { return decodeElectorates(KeyValue { put.key, put.value, {}, Revision(4) }); });
-    CHECK_TRUE(changed && changed->current.members == next && changed->former == known.current);
-    CHECK_FALSE(isMajorityOfAll(*changed, next));
-    CHECK_TRUE(isMajorityOfAll(*changed, { InstanceId("x"), InstanceId("y"), InstanceId("p"), InstanceId("q") }));
-    CHECK_FALSE(changeElectorate(*changed, threeVoters).has_value());
-    CHECK_FALSE(retireFormer(*changed, { InstanceId("x") }).has_value());
-    CHECK_TRUE(retireFormer(*changed, { InstanceId("x"), InstanceId("z") }).has_value());
+    auto changed = valueOr(error, [&] { return decodeVoterSets(KeyValue { put.key, put.value, {}, Revision(4) }); });
+    CHECK_TRUE(changed && changed->current.members == next && changed->previous == known.current);
+    CHECK_FALSE(isMajorityOfEachSet(*changed, next));
+    CHECK_TRUE(isMajorityOfEachSet(*changed, { InstanceId("x"), InstanceId("y"), InstanceId("p"), InstanceId("q") }));
+    CHECK_FALSE(changeVoterSet(*changed, threeVoters).has_value());
+    CHECK_FALSE(retirePrevious(*changed, { InstanceId("x") }).has_value());
+    CHECK_TRUE(retirePrevious(*changed, { InstanceId("x"), InstanceId("z") }).has_value());
 }
--- a/packages/node/src/AssignmentAgent.cpp
+++ b/packages/node/src/AssignmentAgent.cpp
@@ -164,7 +164,7 @@
     else
         m_node.store().list(std::string(allRowsPrefix), reading->deadline, collect(reading, &Reading::rows));
     m_node.store().list(std::string(goneMarksPrefix), reading->deadline, collect(reading, &Reading::marks));
-    m_node.store().get(std::string(electoratesKey), reading->deadline, collect(reading, &Reading::electorate));
+    m_node.store().get(std::string(voterSetsKey), reading->deadline, collect(reading, &Reading::electorate));
 }
 
 template <typename Reply>
@@ -220,10 +220,10 @@
         m_marks.push_back({ *instance, entry.modified });
         selfMarked = selfMarked || *instance == m_self.instance;
     }
-    std::optional<Electorates> electorates;
+    std::optional<VoterSets> electorates;
     if (!m_reading->electorate->entries.empty()) {
         base::Error error;
-        electorates = base::valueOr(error, [&] { return decodeElectorates(m_reading->electorate->entries.front()); });
+        electorates = base::valueOr(error, [&] { return decodeVoterSets(m_reading->electorate->entries.front()); });
     }
     if (electorates && electorates->modified > m_electorates.modified)
         m_electorates = *electorates;
@@ -232,7 +232,7 @@
     m_holder.onServiceRead({ sentAt, deadline }, now, marksRevision, selfMarked, electorates);
     m_voter.onServiceRead(marksRevision, m_marks, electorates);
     for (auto& [name, tracker] : m_trackers) {
-        tracker.onElectorates(m_electorates, now);
+        tracker.onVoterSets(m_electorates, now);
         tracker.onMarks(marksRevision, m_marks);
     }
     m_hasRead = true;
@@ -256,7 +256,7 @@
     for (const Row& row : view->rows) {
         if (row.holder.instance == m_self.instance)
             m_rowsHere.push_back(row);
-        if (row.holder == m_self && !m_holder.hasGivenUp(row))
+        if (row.holder == m_self && !m_holder.hasRelinquished(row))
             view->own.push_back(row);
     }
     m_view.publish(view);
@@ -269,7 +269,7 @@
 void AssignmentAgent::onListing(const ListingAnswer& answer)
 {
     base::Instant now = m_node.control().now();
-    Exchange exchange { answer.sentAt, answer.sentAt + m_node.options().storeTimeout };
+    RequestWindow exchange { answer.sentAt, answer.sentAt + m_node.options().storeTimeout };
     std::set<base::InstanceId> shown;
     for (const formats::ListedInstance& listed : answer.listing.instances)
         shown.insert(listed.instance);
@@ -289,8 +289,8 @@
 std::set<base::InstanceId> AssignmentAgent::knownVoters() const
 {
     std::set<base::InstanceId> voters = m_electorates.current.members;
-    if (m_electorates.former)
-        voters.insert(m_electorates.former->members.begin(), m_electorates.former->members.end());
+    if (m_electorates.previous)
+        voters.insert(m_electorates.previous->members.begin(), m_electorates.previous->members.end());
     return voters;
 }
 
@@ -304,7 +304,7 @@
     m_nextVouch = now + m_options.vouchInterval;
     auto instances = m_node.instances();
     for (const base::InstanceId& voter : m_electorates.current.members) {
-        Exchange exchange { now, now + peerTimeout };
+        RequestWindow exchange { now, now + peerTimeout };
         if (voter == m_self.instance) {
             m_holder.onVoterAnswer(exchange, now, voter, m_voter.generation(), m_voter.vouchFor(m_self.instance, now));
             continue;
@@ -347,8 +347,8 @@
         return;
     }
     m_node.control().post([this, instance, mark, responder = std::move(responder)] {
-        VoterReply vote = m_voter.onQuestion(instance, mark, m_node.control().now());
-        std::string reply = peers::FieldWriter().addDuration(vote.unheard).add(vote.promisedUnder.value()).add(m_voter.generation().value()).finish();
+        VoterReply vote = m_voter.onAbsenceQuery(instance, mark, m_node.control().now());
+        std::string reply = peers::FieldWriter().addDuration(vote.silentFor).add(vote.promisedUnder.value()).add(m_voter.generation().value()).finish();
         m_node.traffic().post([responder, reply] {
             responder->send(reply);
             responder->finish();
@@ -358,11 +358,11 @@
 
 // ---- absence of others
 
-AbsenceTracker& AssignmentAgent::trackerOf(const std::string& listName)
+FailureDetector& AssignmentAgent::trackerOf(const std::string& listName)
 {
     auto [found, isNew] = m_trackers.try_emplace(listName, m_options.timing);
     if (isNew)
-        found->second.onElectorates(m_electorates, m_node.control().now());
+        found->second.onVoterSets(m_electorates, m_node.control().now());
     return found->second;
 }
 
@@ -374,7 +374,7 @@
 bool AssignmentAgent::cleared(const base::InstanceId& instance, const std::string& listName, base::Instant now) const
 {
     auto tracker = m_trackers.find(listName);
-    return tracker != m_trackers.end() && tracker->second.clearance(instance, now).has_value();
+    return tracker != m_trackers.end() && tracker->second.takeoverProof(instance, now).has_value();
 }
 
 void AssignmentAgent::askVoters(base::Instant now)
@@ -384,12 +384,12 @@
     m_nextQuestion = now + questionInterval;
     auto instances = m_node.instances();
     for (auto& [listName, tracker] : m_trackers) {
-        for (const base::InstanceId& absent : tracker.toAsk(now)) {
-            base::Revision mark = tracker.markOf(absent);
+        for (const base::InstanceId& absent : tracker.instancesToQuery(now)) {
+            base::Revision mark = tracker.markRevisionOf(absent);
             for (const base::InstanceId& voter : knownVoters()) {
-                Exchange exchange { now, now + peerTimeout };
+                RequestWindow exchange { now, now + peerTimeout };
                 if (voter == m_self.instance) {
-                    tracker.onVoterReply(exchange, now, absent, m_voter.onQuestion(absent, mark, now));
+                    tracker.onVoterReply(exchange, now, absent, m_voter.onAbsenceQuery(absent, mark, now));
                     continue;
                 }
                 const InstanceRow* row = instances->find(voter);
@@ -433,7 +433,7 @@
     }
     for (auto& [listName, tracker] : m_trackers) {
         for (const base::InstanceId& instance : m_holders) {
-            if (tracker.phase(instance, now) != AbsencePhase::MarkNeeded || m_keysMoving.contains(goneMarkKey(instance)))
+            if (tracker.phase(instance, now) != FailurePhase::MarkNeeded || m_keysMoving.contains(goneMarkKey(instance)))
                 continue;
             submit(m_mover.markGone(instance), [this](MoveState) { m_nextRead = {}; });
         }
@@ -458,9 +458,9 @@
         return;
     for (const base::InstanceId& voter : knownVoters())
         track(voter, std::string(gatewayListName), now);
-    if (m_electorates.former) {
+    if (m_electorates.previous) {
         std::set<base::InstanceId> promised;
-        for (const base::InstanceId& voter : m_electorates.former->members) {
+        for (const base::InstanceId& voter : m_electorates.previous->members) {
             bool knows = voter == m_self.instance ? m_voter.generation() >= m_electorates.current.generation : m_voterGenerations[voter] >= m_electorates.current.generation;
             if (knows || trackerOf(std::string(gatewayListName)).hasStoppedVouching(voter, now))
                 promised.insert(voter);
@@ -480,7 +480,7 @@
                 });
             }
         }
-        if (auto transaction = retireFormer(m_electorates, promised))
+        if (auto transaction = retirePrevious(m_electorates, promised))
             commitVoters(std::move(*transaction));
         return;
     }
@@ -494,7 +494,7 @@
         if (members.size() < m_options.voters)
             members.insert(candidate);
     }
-    if (auto transaction = changeElectorate(m_electorates, members))
+    if (auto transaction = changeVoterSet(m_electorates, members))
         commitVoters(std::move(*transaction));
 }
 
@@ -521,11 +521,11 @@
 
 void AssignmentAgent::adoptOwnRows()
 {
-    if (!m_hasRead || m_holder.markedGone())
+    if (!m_hasRead || m_holder.isMarkedGone())
         return;
     for (const Row& row : m_rowsHere) {
         bool adopted = row.holder.start == m_self.start;
-        if (adopted || busy(row.key) || !mayMoveMore() || m_holder.hasGivenUp(row))
+        if (adopted || busy(row.key) || !mayMoveMore() || m_holder.hasRelinquished(row))
             continue;
         submit(m_mover.adopt(row, m_readRevision), {});
     }
@@ -539,7 +539,7 @@
 
 void AssignmentAgent::takeOver(const Row& row, const std::string& listName, const base::InstanceId& to)
 {
-    auto clearance = trackerOf(listName).clearance(row.holder.instance, m_node.control().now());
+    auto clearance = trackerOf(listName).takeoverProof(row.holder.instance, m_node.control().now());
     if (!clearance)
         return;
     Holder holder { to, to == m_self.instance ? m_self.start : StartNonce() };
@@ -585,7 +585,7 @@
     std::vector<MoveId> abandoned;
     for (auto& [id, pending] : m_moves) {
         MoveState state = m_mover.state(id);
-        if (state != MoveState::NeedsRead && state != MoveState::Unsettled)
+        if (state != MoveState::NeedsRead && state != MoveState::InDoubt)
             continue;
         if (now >= pending.forgetAt) {
             abandoned.push_back(id);
@@ -611,7 +611,7 @@
         });
     }
     for (MoveId id : abandoned)
-        finishMove(id, MoveState::Unsettled);
+        finishMove(id, MoveState::InDoubt);
 }
 
 void AssignmentAgent::finishMove(MoveId id, MoveState state)
@@ -622,7 +622,7 @@
     PendingMove pending = std::move(found->second);
     m_moves.erase(found);
     m_keysMoving.erase(pending.move.key);
-    if (auto row = m_mover.written(id); row && state == MoveState::Committed)
+    if (auto row = m_mover.writtenRow(id); row && state == MoveState::Committed)
         m_table.applyWrite(*row);
     m_mover.forget(id);
     publish();
