--- a/packages/direct/src/CallDesk.cpp
+++ b/packages/direct/src/CallDispatcher.cpp
@@ -1,4 +1,4 @@
-#include "CallDesk.h"
+#include "CallDispatcher.h"
 
 #include "CallRun.h"
 #include "toucanstep/base/Text.h"
@@ -27,7 +27,7 @@
 
 } // namespace
 
-CallDesk::CallDesk(io::EventLoop& loop, http1::Client& client, const WireFormat& format, base::MetricsRegistry& metrics, CallDeskSettings settings)
+CallDispatcher::CallDispatcher(io::EventLoop& loop, http1::Client& client, const WireFormat& format, base::MetricsRegistry& metrics, CallDispatcherSettings settings)
     : m_loop(loop)
     , m_client(client)
     , m_format(format)
@@ -38,33 +38,33 @@
 {
 }
 
-CallDesk::~CallDesk()
+CallDispatcher::~CallDispatcher()
 {
-    cutOffAll();
+    shutDownAll();
     m_loop.cancel(m_pumpTimer);
     m_loop.cancel(m_tokenTimer);
 }
 
-void CallDesk::cutOffAll()
+void CallDispatcher::shutDownAll()
 {
     auto runs = m_runs;
     for (const auto& run : runs)
         run->cutOff();
 }
 
-void CallDesk::onRequest(std::shared_ptr<http1::ServerExchange> exchange)
+void CallDispatcher::onRequest(std::shared_ptr<http1::ServerExchange> exchange)
 {
     auto run = std::make_shared<CallRun>(*this, std::move(exchange));
     m_runs.insert(run);
     run->start();
 }
 
-void CallDesk::onUnreadable(int status)
+void CallDispatcher::onUnreadable(int status)
 {
     m_metrics.count("toucanstep_unreadable_requests_total", base::concat("status=\"", status, "\""));
 }
 
-void CallDesk::setDesiredState(std::shared_ptr<const DesiredState> state)
+void CallDispatcher::setDesiredState(std::shared_ptr<const DesiredState> state)
 {
     m_state = std::move(state);
     m_inForceSince = now();
@@ -72,14 +72,14 @@
     wakeWaiting();
 }
 
-void CallDesk::setExpectedLoads(const std::vector<ExpectedLoad>& loads)
+void CallDispatcher::setExpectedLoads(const std::vector<ExpectedLoad>& loads)
 {
     m_expected.clear();
     for (const auto& load : loads)
         m_expected[load.target] = now() + load.in;
 }
 
-std::optional<base::Instant> CallDesk::expectedLoad(const ModelTarget& target) const
+std::optional<base::Instant> CallDispatcher::expectedLoad(const ModelTarget& target) const
 {
     auto found = m_expected.find({ target.model, AdapterId() });
     if (found == m_expected.end())
@@ -87,12 +87,12 @@
     return found->second;
 }
 
-bool CallDesk::plannerKnown() const
+bool CallDispatcher::plannerKnown() const
 {
     return m_plannerHeard && now() - *m_plannerHeard < plannerSilence;
 }
 
-TokenLine::Decision CallDesk::takeTokens(const std::shared_ptr<CallRun>& run, const base::ClientAccountId& account, base::Tokens cost, base::Instant holdUntil)
+TokenLine::Decision CallDispatcher::takeTokens(const std::shared_ptr<CallRun>& run, const base::ClientAccountId& account, base::Tokens cost, base::Instant holdUntil)
 {
     TokenLine::Decision decision = m_tokenLine.take(m_limits, account, cost, holdUntil, now());
     if (decision.answer == TokenAnswer::Held) {
@@ -103,13 +103,13 @@
     return decision;
 }
 
-void CallDesk::leaveTokenLine(HeldCallNumber number)
+void CallDispatcher::leaveTokenLine(HeldCallNumber number)
 {
     m_tokenLine.remove(number);
     m_held.erase(number);
 }
 
-void CallDesk::serveTokenLine()
+void CallDispatcher::serveTokenLine()
 {
     m_loop.cancel(m_tokenTimer);
     m_tokenTimer = 0;
@@ -128,7 +128,7 @@
         m_tokenTimer = m_loop.at(std::max(*next, now() + shortestPause), [this] { serveTokenLine(); });
 }
 
-void CallDesk::wait(const std::shared_ptr<CallRun>& run)
+void CallDispatcher::wait(const std::shared_ptr<CallRun>& run)
 {
     run->setWaitNumber(++m_lastNumber);
     m_waiting.emplace(run->waitNumber(), run);
@@ -137,20 +137,20 @@
         m_onTargetMissing();
 }
 
-void CallDesk::stopWaiting(CallRun& run)
+void CallDispatcher::stopWaiting(CallRun& run)
 {
     if (m_waiting.erase(run.waitNumber()))
         m_demand.onWaiting(run.target(), -1);
 }
 
-void CallDesk::ended(CallRun& run)
+void CallDispatcher::ended(CallRun& run)
 {
     stopWaiting(run);
     m_runs.erase(run.shared_from_this());
     wakeWaiting();
 }
 
-void CallDesk::wakeWaiting()
+void CallDispatcher::wakeWaiting()
 {
     if (m_pumpDue || m_waiting.empty())
         return;
@@ -158,7 +158,7 @@
     m_pumpTimer = m_loop.at(now() + pumpDelay, [this] { pump(); });
 }
 
-std::vector<std::shared_ptr<CallRun>> CallDesk::inTurn() const
+std::vector<std::shared_ptr<CallRun>> CallDispatcher::inTurn() const
 {
     std::map<WaitingPlace, std::shared_ptr<CallRun>> places;
     for (const auto& [number, run] : m_waiting)
@@ -169,7 +169,7 @@
     return runs;
 }
 
-void CallDesk::pump()
+void CallDispatcher::pump()
 {
     m_pumpDue = false;
     // Behind a call that finds its upstreams full, others for the same target need not look.
@@ -192,7 +192,7 @@
     m_standing.endLook();
 }
 
-void CallDesk::tick()
+void CallDispatcher::tick()
 {
     base::Instant time = now();
     m_upstreams.expireNotices(time);
@@ -212,7 +212,7 @@
         pump();
 }
 
-routing::RetryBudget& CallDesk::budget(const base::ServiceId& service)
+routing::RetryBudget& CallDispatcher::budget(const base::ServiceId& service)
 {
     routing::RetryBudgetSettings settings;
     settings.percent = m_settings.retryPercent;
@@ -221,31 +221,31 @@
     return m_budgets.try_emplace(service, settings).first->second;
 }
 
-void CallDesk::countForBudget(const base::ServiceId& service)
+void CallDispatcher::countForBudget(const base::ServiceId& service)
 {
     budget(service).onRequest();
 }
 
-bool CallDesk::takeRetry(const base::ServiceId& service, int64_t retriesSoFar)
+bool CallDispatcher::takeRetry(const base::ServiceId& service, int64_t retriesSoFar)
 {
     bool taken = budget(service).tryRetry(true, retriesSoFar);
     m_metrics.count("toucanstep_retries_total", taken ? "granted=\"yes\"" : "granted=\"no\"");
     return taken;
 }
 
-void CallDesk::heardFrom(const base::UpstreamId& upstream)
+void CallDispatcher::heardFrom(const base::UpstreamId& upstream)
 {
     m_upstreams.onHeard(upstream, now());
     m_crashes.onHeard(upstream, now());
 }
 
-void CallDesk::suspectCrash(const base::UpstreamId& upstream, const routing::RequestFingerprint& fingerprint)
+void CallDispatcher::suspectCrash(const base::UpstreamId& upstream, const routing::RequestFingerprint& fingerprint)
 {
     const UpstreamEntry* entry = m_upstreams.find(upstream);
     m_crashes.onBroken({ upstream, entry ? entry->description.start : StartMark(), fingerprint, now() });
 }
 
-void CallDesk::strikeForCrashes()
+void CallDispatcher::strikeForCrashes()
 {
     for (const auto& crashed : m_crashes.takeConfirmed(now())) {
         routing::CrashId crash(base::concat(crashed.upstream, "/", crashed.start));
@@ -254,7 +254,7 @@
     }
 }
 
-std::vector<routing::StrikeMessage> CallDesk::recentStrikes()
+std::vector<routing::StrikeMessage> CallDispatcher::recentStrikes()
 {
     std::erase_if(m_strikes, [&](const auto& strike) { return strike.first <= now(); });
     std::vector<routing::StrikeMessage> recent;
--- a/packages/direct/src/CallDesk.h
+++ b/packages/direct/src/CallDispatcher.h
@@ -28,17 +28,17 @@
 
 class CallRun;
 
-struct CallDeskSettings {
+struct CallDispatcherSettings {
     base::FailureDomain domain;
     // Parts of the fleet's budget of repeats: for each hundred calls, and beyond that.
     int64_t retryPercent = 16;
     int64_t retryReserve = 8;
 };
 
-class CallDesk final : public http1::RequestHandler {
+class CallDispatcher final : public http1::RequestHandler {
 public:
-    CallDesk(io::EventLoop&, http1::Client&, const WireFormat&, base::MetricsRegistry&, CallDeskSettings);
-    ~CallDesk() override;
+    CallDispatcher(io::EventLoop&, http1::Client&, const WireFormat&, base::MetricsRegistry&, CallDispatcherSettings);
+    ~CallDispatcher() override;
 
     void onRequest(std::shared_ptr<http1::ServerExchange>) override;
     void onUnreadable(int status) override;
@@ -47,8 +47,8 @@
     std::shared_ptr<const DesiredState> desiredState() const { return m_state; }
     base::Instant inForceSince() const { return m_inForceSince; }
     // When the store last answered, for the log.
-    void noteStore(base::Instant heard) { m_storeHeard = heard; }
-    base::Instant storeHeard() const { return m_storeHeard; }
+    void setLastStoreContact(base::Instant heard) { m_lastStoreContact = heard; }
+    base::Instant lastStoreContact() const { return m_lastStoreContact; }
     // What the planner expects of targets that are loaded nowhere; replaces what it said before.
     void setExpectedLoads(const std::vector<ExpectedLoad>&);
     // Upstreams or their loaded models changed, or calls ended: those that wait may go on now.
@@ -56,7 +56,7 @@
     // Looks after calls at upstreams that have stopped answering; to be called several times a second.
     void tick();
     // The process ends: every caller is told what can be said. Nothing is taken afterwards.
-    void cutOffAll();
+    void shutDownAll();
     // Called where a call begins to wait for a target that no upstream holds.
     void onTargetMissing(std::function<void()> handler) { m_onTargetMissing = std::move(handler); }
 
@@ -69,7 +69,7 @@
     DemandBook& demand() { return m_demand; }
     routing::Quarantine& quarantine() { return m_quarantine; }
     base::MetricsRegistry& metrics() { return m_metrics; }
-    const CallDeskSettings& settings() const { return m_settings; }
+    const CallDispatcherSettings& settings() const { return m_settings; }
     size_t running() const { return m_runs.size(); }
     size_t waiting() const { return m_waiting.size(); }
 
@@ -89,7 +89,7 @@
     void suspectCrash(const base::UpstreamId&, const routing::RequestFingerprint&);
     std::vector<routing::StrikeMessage> recentStrikes();
     // The planner was heard of late; without one nothing is loaded.
-    void notePlanner() { m_plannerHeard = now(); }
+    void onPlannerReport() { m_plannerHeard = now(); }
     bool plannerKnown() const;
 
 private:
@@ -104,10 +104,10 @@
     http1::Client& m_client;
     const WireFormat& m_format;
     base::MetricsRegistry& m_metrics;
-    CallDeskSettings m_settings;
+    CallDispatcherSettings m_settings;
     std::shared_ptr<const DesiredState> m_state;
     base::Instant m_inForceSince;
-    base::Instant m_storeHeard;
+    base::Instant m_lastStoreContact;
     UpstreamTable m_upstreams;
     AccountLimits m_limits;
     TokenLine m_tokenLine;
--- a/packages/direct/src/CallRun.cpp
+++ b/packages/direct/src/CallRun.cpp
@@ -58,12 +58,12 @@
 
 } // namespace
 
-CallRun::CallRun(CallDesk& desk, std::shared_ptr<http1::ServerExchange> caller)
+CallRun::CallRun(CallDispatcher& desk, std::shared_ptr<http1::ServerExchange> caller)
     : m_desk(desk)
     , m_caller(std::move(caller))
     , m_state(desk.desiredState())
     , m_stateSince(desk.inForceSince())
-    , m_storeHeard(desk.storeHeard())
+    , m_lastStoreContact(desk.lastStoreContact())
     , m_arrived(desk.now())
 {
 }
@@ -594,7 +594,7 @@
     base::LogLine line("call_ended");
     line.add("id", m_call.id).add("outcome", outcome).add("status", status);
     if (m_state)
-        line.add("version", m_state->version).add("version_age_ms", base::toMilliseconds(m_arrived - m_stateSince)).add("store_age_ms", base::toMilliseconds(m_arrived - m_storeHeard));
+        line.add("version", m_state->version).add("version_age_ms", base::toMilliseconds(m_arrived - m_stateSince)).add("store_age_ms", base::toMilliseconds(m_arrived - m_lastStoreContact));
     if (m_route)
         line.add("route", m_route->id).add("target_ms", base::toMilliseconds(m_route->latencyTarget));
     line.add("account", m_account).add("model", m_call.target.model).add("adapter", m_call.target.adapter).add("upstream", m_upstream).add("sends", m_sends);
--- a/packages/direct/src/CallRun.h
+++ b/packages/direct/src/CallRun.h
@@ -6,14 +6,14 @@
 
 #pragma once
 
-#include "CallDesk.h"
+#include "CallDispatcher.h"
 #include "EventSplitter.h"
 
 namespace toucanstep::direct {
 
 class CallRun final : public http1::ExchangeListener, public std::enable_shared_from_this<CallRun> {
 public:
-    CallRun(CallDesk&, std::shared_ptr<http1::ServerExchange>);
+    CallRun(CallDispatcher&, std::shared_ptr<http1::ServerExchange>);
     ~CallRun() override;
 
     // Checks the request and refuses it, or begins to look for an upstream.
@@ -88,12 +88,12 @@
     void finish(std::string_view outcome, int status);
     base::Duration left() const;
 
-    CallDesk& m_desk;
+    CallDispatcher& m_desk;
     std::shared_ptr<http1::ServerExchange> m_caller;
     std::shared_ptr<const DesiredState> m_state;
     // When it had come into force, and when the store had last been heard, as of the call's arrival.
     base::Instant m_stateSince;
-    base::Instant m_storeHeard;
+    base::Instant m_lastStoreContact;
     // Of m_state.
     const Route* m_route = nullptr;
     CallerCall m_call;
--- a/packages/direct/src/GatewayCore.cpp
+++ b/packages/direct/src/GatewayCore.cpp
@@ -45,13 +45,13 @@
     return std::chrono::duration_cast<std::chrono::milliseconds>(std::chrono::system_clock::now().time_since_epoch()).count();
 }
 
-CallDeskSettings callSettings(const DirectGatewaySettings& settings)
+CallDispatcherSettings callSettings(const DirectGatewaySettings& settings)
 {
     // Each gateway spends a part of the fleet's budget on its own, with no word from the others. Four fifths of the
     // ratio leave room for sends that count as repeats although this gateway did not mean them so.
     constexpr double usedPart = 0.8;
     constexpr int64_t gatewaysAtLeast = 4;
-    CallDeskSettings calls;
+    CallDispatcherSettings calls;
     calls.domain = settings.domain;
     calls.retryPercent = static_cast<int64_t>(settings.retryRatio * usedPart * 100);
     calls.retryReserve = std::max<int64_t>(1, settings.retrySlack / 2 / gatewaysAtLeast);
@@ -140,7 +140,7 @@
 {
     for (auto timer : { m_beatTimer, m_demandTimer, m_planTimer, m_tellTimer })
         m_loop.cancel(timer);
-    m_calls.cutOffAll();
+    m_calls.shutDownAll();
 }
 
 base::Result<void> GatewayCore::start()
@@ -260,7 +260,7 @@
 void GatewayCore::onDirectoryUpdated()
 {
     if (auto answered = m_mirror.lastAnswer())
-        m_calls.noteStore(*answered);
+        m_calls.setLastStoreContact(*answered);
     if (auto planner = m_duty.onDirectoryUpdated())
         m_plannerPeer = planner;
     m_calls.wakeWaiting();
@@ -448,7 +448,7 @@
     for (const auto& notice : report.notices)
         m_calls.upstreams().notice(notice, until);
     m_calls.setExpectedLoads(report.expected);
-    m_calls.notePlanner();
+    m_calls.onPlannerReport();
     m_calls.wakeWaiting();
 }
 
--- a/packages/direct/src/GatewayCore.h
+++ b/packages/direct/src/GatewayCore.h
@@ -2,7 +2,7 @@
 
 #pragma once
 
-#include "CallDesk.h"
+#include "CallDispatcher.h"
 #include "DutyKeeper.h"
 #include "FleetLink.h"
 #include "OrderDesk.h"
@@ -72,7 +72,7 @@
     http1::Client m_client;
     http1::Client m_storeClient;
     std::unique_ptr<base::KeyValueStore> m_store;
-    CallDesk m_calls;
+    CallDispatcher m_calls;
     OrderDesk m_orders;
     PlacementPlanner m_planner;
     StoreMirror m_mirror;
