--- a/packages/direct/src/CallDispatcher.cpp
+++ b/packages/direct/src/CallDispatcher.cpp
@@ -1,6 +1,6 @@
 #include "CallDispatcher.h"
 
-#include "CallRun.h"
+#include "ProxiedCall.h"
 #include "toucanstep/base/Text.h"
 
 #include <tuple>
@@ -54,7 +54,7 @@
 
 void CallDispatcher::onRequest(std::shared_ptr<http1::ServerExchange> exchange)
 {
-    auto run = std::make_shared<CallRun>(*this, std::move(exchange));
+    auto run = std::make_shared<ProxiedCall>(*this, std::move(exchange));
     m_runs.insert(run);
     run->start();
 }
@@ -92,7 +92,7 @@
     return m_plannerHeard && now() - *m_plannerHeard < plannerSilence;
 }
 
-TokenLine::Decision CallDispatcher::takeTokens(const std::shared_ptr<CallRun>& run, const base::ClientAccountId& account, base::Tokens cost, base::Instant holdUntil)
+TokenLine::Decision CallDispatcher::takeTokens(const std::shared_ptr<ProxiedCall>& run, const base::ClientAccountId& account, base::Tokens cost, base::Instant holdUntil)
 {
     TokenLine::Decision decision = m_tokenLine.take(m_limits, account, cost, holdUntil, now());
     if (decision.answer == TokenAnswer::Held) {
@@ -128,7 +128,7 @@
         m_tokenTimer = m_loop.at(std::max(*next, now() + shortestPause), [this] { serveTokenLine(); });
 }
 
-void CallDispatcher::wait(const std::shared_ptr<CallRun>& run)
+void CallDispatcher::wait(const std::shared_ptr<ProxiedCall>& run)
 {
     run->setWaitNumber(++m_lastNumber);
     m_waiting.emplace(run->waitNumber(), run);
@@ -137,13 +137,13 @@
         m_onTargetMissing();
 }
 
-void CallDispatcher::stopWaiting(CallRun& run)
+void CallDispatcher::stopWaiting(ProxiedCall& run)
 {
     if (m_waiting.erase(run.waitNumber()))
         m_demand.onWaiting(run.target(), -1);
 }
 
-void CallDispatcher::ended(CallRun& run)
+void CallDispatcher::ended(ProxiedCall& run)
 {
     stopWaiting(run);
     m_runs.erase(run.shared_from_this());
@@ -158,12 +158,12 @@
     m_pumpTimer = m_loop.at(now() + pumpDelay, [this] { pump(); });
 }
 
-std::vector<std::shared_ptr<CallRun>> CallDispatcher::inTurn() const
+std::vector<std::shared_ptr<ProxiedCall>> CallDispatcher::inTurn() const
 {
-    std::map<WaitingPlace, std::shared_ptr<CallRun>> places;
+    std::map<WaitingPlace, std::shared_ptr<ProxiedCall>> places;
     for (const auto& [number, run] : m_waiting)
         places.emplace(WaitingPlace { run->rank(), run->turn(), number }, run);
-    std::vector<std::shared_ptr<CallRun>> runs;
+    std::vector<std::shared_ptr<ProxiedCall>> runs;
     for (auto& [place, run] : places)
         runs.push_back(std::move(run));
     return runs;
--- a/packages/direct/src/CallDispatcher.h
+++ b/packages/direct/src/CallDispatcher.h
@@ -26,7 +26,7 @@
 
 namespace toucanstep::direct {
 
-class CallRun;
+class ProxiedCall;
 
 struct CallDispatcherSettings {
     base::FailureDomain domain;
@@ -73,13 +73,13 @@
     size_t running() const { return m_runs.size(); }
     size_t waiting() const { return m_waiting.size(); }
 
-    // For CallRun.
+    // For ProxiedCall.
     // Charges the account, or holds the call: onTokens() or onNoTokens() follows.
-    TokenLine::Decision takeTokens(const std::shared_ptr<CallRun>&, const base::ClientAccountId&, base::Tokens, base::Instant holdUntil);
+    TokenLine::Decision takeTokens(const std::shared_ptr<ProxiedCall>&, const base::ClientAccountId&, base::Tokens, base::Instant holdUntil);
     void leaveTokenLine(HeldCallNumber);
-    void wait(const std::shared_ptr<CallRun>&);
-    void stopWaiting(CallRun&);
-    void ended(CallRun&);
+    void wait(const std::shared_ptr<ProxiedCall>&);
+    void stopWaiting(ProxiedCall&);
+    void ended(ProxiedCall&);
     bool takeRetry(const base::ServiceId&, int64_t retriesSoFar);
     void countForBudget(const base::ServiceId&);
     // When a target that is loaded nowhere will be, as the planner says; nothing where it has not said.
@@ -97,7 +97,7 @@
     void serveTokenLine();
     void pump();
     // Those that wait, in the order in which they may go on now.
-    std::vector<std::shared_ptr<CallRun>> inTurn() const;
+    std::vector<std::shared_ptr<ProxiedCall>> inTurn() const;
     routing::RetryBudget& budget(const base::ServiceId&);
 
     io::EventLoop& m_loop;
@@ -111,7 +111,7 @@
     UpstreamTable m_upstreams;
     AccountLimits m_limits;
     TokenLine m_tokenLine;
-    std::map<HeldCallNumber, std::shared_ptr<CallRun>> m_held;
+    std::map<HeldCallNumber, std::shared_ptr<ProxiedCall>> m_held;
     io::EventLoop::TimerId m_tokenTimer = 0;
     DemandBook m_demand;
     routing::Quarantine m_quarantine;
@@ -119,10 +119,10 @@
     std::map<ModelTarget, base::Instant> m_expected;
     std::optional<base::Instant> m_plannerHeard;
     std::function<void()> m_onTargetMissing;
-    std::set<std::shared_ptr<CallRun>> m_runs;
+    std::set<std::shared_ptr<ProxiedCall>> m_runs;
     StandingLines m_standing;
     // By the number under which each began to wait.
-    std::map<uint64_t, std::shared_ptr<CallRun>> m_waiting;
+    std::map<uint64_t, std::shared_ptr<ProxiedCall>> m_waiting;
     uint64_t m_lastNumber = 0;
     io::EventLoop::TimerId m_pumpTimer = 0;
     bool m_pumpDue = false;
--- a/packages/direct/src/CallRun.cpp
+++ b/packages/direct/src/ProxiedCall.cpp
@@ -1,4 +1,4 @@
-#include "CallRun.h"
+#include "ProxiedCall.h"
 
 #include "toucanstep/base/Digest.h"
 #include "toucanstep/base/LogLine.h"
@@ -58,7 +58,7 @@
 
 } // namespace
 
-CallRun::CallRun(CallDispatcher& desk, std::shared_ptr<http1::ServerExchange> caller)
+ProxiedCall::ProxiedCall(CallDispatcher& desk, std::shared_ptr<http1::ServerExchange> caller)
     : m_desk(desk)
     , m_caller(std::move(caller))
     , m_state(desk.desiredState())
@@ -68,14 +68,14 @@
 {
 }
 
-CallRun::~CallRun()
+ProxiedCall::~ProxiedCall()
 {
     m_desk.loop().cancel(m_timer);
 }
 
-base::Duration CallRun::left() const { return base::remaining(m_desk.now(), m_deadline); }
+base::Duration ProxiedCall::left() const { return base::remaining(m_desk.now(), m_deadline); }
 
-void CallRun::start()
+void ProxiedCall::start()
 {
     bool admitted = admit();
     if (m_phase == Phase::Done)
@@ -92,7 +92,7 @@
         goOn();
 }
 
-void CallRun::goOn()
+void ProxiedCall::goOn()
 {
     m_phase = Phase::Checking;
     m_desk.demand().onArrival(m_call.target, m_desk.now());
@@ -100,7 +100,7 @@
     waitAgain();
 }
 
-bool CallRun::admit()
+bool ProxiedCall::admit()
 {
     std::string reason;
     const http1::RequestHead& head = m_caller->head();
@@ -144,7 +144,7 @@
     return !account || !account->limited() || takeTokens(*account);
 }
 
-bool CallRun::takeTokens(const Account& account)
+bool ProxiedCall::takeTokens(const Account& account)
 {
     m_cost = account.countsTokens ? (m_call.statesTokens ? m_call.cost() : account.baseCost) : base::Tokens(1);
     auto holdUntil = m_arrived + std::chrono::duration_cast<base::Duration>(m_route->latencyTarget * heldPart);
@@ -164,20 +164,20 @@
     return false;
 }
 
-void CallRun::onTokens()
+void ProxiedCall::onTokens()
 {
     m_held.reset();
     m_charged = m_cost;
     goOn();
 }
 
-void CallRun::onNoTokens(base::Instant expected)
+void ProxiedCall::onNoTokens(base::Instant expected)
 {
     m_held.reset();
     refuse(statusTooManyRequests, "rate_limited", Ran::No, "the account is over its rate", base::remaining(m_desk.now(), expected));
 }
 
-bool CallRun::chooseService(const Route& route)
+bool ProxiedCall::chooseService(const Route& route)
 {
     int64_t total = 0;
     for (const auto& destination : route.destinations)
@@ -197,7 +197,7 @@
     return true;
 }
 
-Obstacle CallRun::tryDispatch()
+Obstacle ProxiedCall::tryDispatch()
 {
     DispatchQuery query;
     query.service = m_service;
@@ -213,7 +213,7 @@
     return choice.obstacle;
 }
 
-void CallRun::waitAgain()
+void ProxiedCall::waitAgain()
 {
     leaveUpstream();
     Obstacle obstacle = tryDispatch();
@@ -227,12 +227,12 @@
     m_desk.wait(shared_from_this());
 }
 
-WaitingTurn CallRun::turn() const
+WaitingTurn ProxiedCall::turn() const
 {
     return waitingTurn(m_firstByte.has_value(), m_arrived, m_route->latencyTarget, m_desk.now());
 }
 
-bool CallRun::refuseIfHopeless(Obstacle obstacle)
+bool ProxiedCall::refuseIfHopeless(Obstacle obstacle)
 {
     // A stream that has begun has no refusal left: it is ended where it cannot go on.
     bool begun = m_firstByte.has_value();
@@ -261,12 +261,12 @@
     return false;
 }
 
-void CallRun::refuseLate()
+void ProxiedCall::refuseLate()
 {
     refuse(statusUnavailable, "overloaded", m_runs ? Ran::Maybe : Ran::No, "more calls come than the upstreams can run", defaultRetryAfter);
 }
 
-std::string CallRun::requestHead(const base::UpstreamId& upstream) const
+std::string ProxiedCall::requestHead(const base::UpstreamId& upstream) const
 {
     const http1::RequestHead& head = m_caller->head();
     std::string out = base::concat(head.method, " ", head.target, " HTTP/1.1\r\n");
@@ -288,7 +288,7 @@
     return out + "\r\n";
 }
 
-void CallRun::send(const base::UpstreamId& upstream)
+void ProxiedCall::send(const base::UpstreamId& upstream)
 {
     m_desk.stopWaiting(*this);
     UpstreamEntry* entry = m_desk.upstreams().find(upstream);
@@ -310,7 +310,7 @@
     m_exchange = m_desk.client().send({ upstream.value(), entry->description.endpoint }, std::move(request), this);
 }
 
-void CallRun::leaveUpstream()
+void ProxiedCall::leaveUpstream()
 {
     if (!m_exchange)
         return;
@@ -320,7 +320,7 @@
     m_desk.wakeWaiting();
 }
 
-void CallRun::onHead(http1::ResponseHead head)
+void ProxiedCall::onHead(http1::ResponseHead head)
 {
     m_desk.heardFrom(m_upstream);
     if (!m_haveHead) {
@@ -334,7 +334,7 @@
     m_passThrough = false;
 }
 
-void CallRun::onBody(std::string_view piece)
+void ProxiedCall::onBody(std::string_view piece)
 {
     m_desk.heardFrom(m_upstream);
     auto self = shared_from_this();
@@ -372,20 +372,20 @@
 
 } // namespace
 
-void CallRun::beginStream()
+void ProxiedCall::beginStream()
 {
     m_firstByte = m_desk.now();
     m_phase = Phase::Delivering;
     m_caller->begin({ m_head.status, m_head.reason, endToEndHeaders(m_head), std::nullopt });
 }
 
-void CallRun::deliverWhole()
+void ProxiedCall::deliverWhole()
 {
     m_firstByte = m_desk.now();
     m_caller->answer({ m_head.status, m_head.reason, endToEndHeaders(m_head), std::nullopt }, m_body);
 }
 
-void CallRun::onWhole()
+void ProxiedCall::onWhole()
 {
     auto self = shared_from_this();
     if (!m_verdict.id.empty() && m_verdict.id != m_call.id) {
@@ -422,7 +422,7 @@
     finish("answered", status);
 }
 
-void CallRun::onRejected()
+void ProxiedCall::onRejected()
 {
     --m_runs;
     m_desk.metrics().count("toucanstep_rejected_by_upstream_total");
@@ -441,7 +441,7 @@
     refuse(statusUnavailable, "rejected", m_runs ? Ran::Maybe : Ran::No, "the upstreams have turned the call away", defaultRetryAfter);
 }
 
-bool CallRun::mayRetry()
+bool ProxiedCall::mayRetry()
 {
     if (!m_route->mayRepeat() || m_runs >= m_route->attempts || m_sends >= mostSends || left() < shortestRun)
         return false;
@@ -451,7 +451,7 @@
     return true;
 }
 
-void CallRun::onServerError()
+void ProxiedCall::onServerError()
 {
     m_desk.upstreams().onFailure(m_upstream, m_desk.now());
     if (m_phase != Phase::Delivering && mayRetry()) {
@@ -470,7 +470,7 @@
     finish("upstream_error", status);
 }
 
-void CallRun::onBroken(http1::Breakage breakage)
+void ProxiedCall::onBroken(http1::Breakage breakage)
 {
     auto self = shared_from_this();
     if (breakage == http1::Breakage::NotSent) {
@@ -496,7 +496,7 @@
     failed(breakage == http1::Breakage::Malformed ? "the upstream's answer cannot be read" : "the upstream broke off");
 }
 
-void CallRun::onUpstreamSilent()
+void ProxiedCall::onUpstreamSilent()
 {
     if (!underWay() || !m_route->mayRepeat())
         return;
@@ -508,7 +508,7 @@
     waitAgain();
 }
 
-void CallRun::failed(std::string_view reason)
+void ProxiedCall::failed(std::string_view reason)
 {
     leaveUpstream();
     if (m_firstByte) {
@@ -523,7 +523,7 @@
         refuse(statusUnavailable, "upstream_unreachable", Ran::No, reason, defaultRetryAfter);
 }
 
-void CallRun::deadlinePassed()
+void ProxiedCall::deadlinePassed()
 {
     auto self = shared_from_this();
     if (m_phase == Phase::Done)
@@ -541,7 +541,7 @@
         refuse(statusUnavailable, "overloaded", Ran::No, "no upstream could take the call in time", defaultRetryAfter);
 }
 
-void CallRun::callerLeft()
+void ProxiedCall::callerLeft()
 {
     auto self = shared_from_this();
     if (m_phase == Phase::Done)
@@ -550,7 +550,7 @@
     finish("caller_left", 0);
 }
 
-void CallRun::cutOff()
+void ProxiedCall::cutOff()
 {
     auto self = shared_from_this();
     if (m_phase == Phase::Done)
@@ -561,7 +561,7 @@
         failed("the gateway ends");
 }
 
-void CallRun::refuse(int status, std::string_view code, Ran ran, std::string_view message, std::optional<base::Duration> retryAfter)
+void ProxiedCall::refuse(int status, std::string_view code, Ran ran, std::string_view message, std::optional<base::Duration> retryAfter)
 {
     auto self = shared_from_this();
     // What ran nowhere is not charged; what may have run keeps its charge, as its tokens may have been used.
@@ -584,7 +584,7 @@
     finish(code, status);
 }
 
-void CallRun::finish(std::string_view outcome, int status)
+void ProxiedCall::finish(std::string_view outcome, int status)
 {
     m_phase = Phase::Done;
     if (m_held)
--- a/packages/direct/src/CallRun.h
+++ b/packages/direct/src/ProxiedCall.h
@@ -11,10 +11,10 @@
 
 namespace toucanstep::direct {
 
-class CallRun final : public http1::ExchangeListener, public std::enable_shared_from_this<CallRun> {
+class ProxiedCall final : public http1::ExchangeListener, public std::enable_shared_from_this<ProxiedCall> {
 public:
-    CallRun(CallDispatcher&, std::shared_ptr<http1::ServerExchange>);
-    ~CallRun() override;
+    ProxiedCall(CallDispatcher&, std::shared_ptr<http1::ServerExchange>);
+    ~ProxiedCall() override;
 
     // Checks the request and refuses it, or begins to look for an upstream.
     void start();
