--- a/packages/direct/include/toucanstep/direct/Dispatch.h
+++ b/packages/direct/include/toucanstep/direct/UpstreamSelection.h
@@ -10,7 +10,7 @@
 
 namespace toucanstep::direct {
 
-struct DispatchQuery {
+struct UpstreamQuery {
     base::ServiceId service;
     ModelTarget target;
     // Upstreams that this call has already been sent to.
@@ -18,12 +18,12 @@
     // The gateway's own failure domain.
     base::FailureDomain domain;
     // Calls with the same text here share a prompt's beginning; empty without one.
-    std::string sharedPrompt;
+    std::string promptPrefix;
     // Differs from call to call: among equally busy upstreams each call has its own first choice.
-    std::string spreadBy;
+    std::string spreadKey;
 };
 
-enum class Obstacle {
+enum class BlockReason {
     None,
     // No upstream of the service can take calls.
     NoUpstream,
@@ -32,13 +32,13 @@
     Full,
 };
 
-std::string_view toText(Obstacle);
+std::string_view toText(BlockReason);
 
-struct DispatchChoice {
-    Obstacle obstacle = Obstacle::None;
+struct UpstreamSelection {
+    BlockReason blockReason = BlockReason::None;
     base::UpstreamId upstream;
 };
 
-DispatchChoice chooseUpstream(const UpstreamTable&, const DispatchQuery&, base::Instant now);
+UpstreamSelection selectUpstream(const UpstreamTable&, const UpstreamQuery&, base::Instant now);
 
 } // namespace toucanstep::direct
--- a/packages/direct/src/CallDispatcher.cpp
+++ b/packages/direct/src/CallDispatcher.cpp
@@ -173,21 +173,21 @@
 {
     m_pumpDue = false;
     // Behind a call that finds its upstreams full, others for the same target need not look.
-    std::map<WaitingLine, Obstacle> blocked;
+    std::map<WaitingLine, BlockReason> blocked;
     m_standing.beginLook(now());
     for (const auto& run : inTurn()) {
         WaitingLine line(run->service(), run->target());
         auto known = blocked.find(line);
-        Obstacle obstacle = known != blocked.end() && run->untried() ? known->second : run->tryDispatch();
-        if (obstacle == Obstacle::None)
+        BlockReason blockReason = known != blocked.end() && run->untried() ? known->second : run->tryDispatch();
+        if (blockReason == BlockReason::None)
             continue;
         if (run->untried())
-            blocked.emplace(line, obstacle);
-        bool late = obstacle == Obstacle::Full && run->turn() == WaitingTurn::Late;
+            blocked.emplace(line, blockReason);
+        bool late = blockReason == BlockReason::Full && run->turn() == WaitingTurn::Late;
         if (late && m_standing.refusesLate(line))
             run->refuseLate();
         else
-            run->refuseIfHopeless(obstacle);
+            run->refuseIfHopeless(blockReason);
     }
     m_standing.endLook();
 }
--- a/packages/direct/src/ProxiedCall.cpp
+++ b/packages/direct/src/ProxiedCall.cpp
@@ -197,31 +197,31 @@
     return true;
 }
 
-Obstacle ProxiedCall::tryDispatch()
+BlockReason ProxiedCall::tryDispatch()
 {
-    DispatchQuery query;
+    UpstreamQuery query;
     query.service = m_service;
     query.target = m_call.target;
     query.tried = &m_tried;
     query.domain = m_desk.settings().domain;
-    query.spreadBy = m_call.id.value();
+    query.spreadKey = m_call.id.value();
     if (!m_call.prompt.empty())
-        query.sharedPrompt = m_call.prompt.front().hash;
-    DispatchChoice choice = chooseUpstream(m_desk.upstreams(), query, m_desk.now());
-    if (choice.obstacle == Obstacle::None)
+        query.promptPrefix = m_call.prompt.front().hash;
+    UpstreamSelection choice = selectUpstream(m_desk.upstreams(), query, m_desk.now());
+    if (choice.blockReason == BlockReason::None)
         send(choice.upstream);
-    return choice.obstacle;
+    return choice.blockReason;
 }
 
 void ProxiedCall::waitAgain()
 {
     leaveUpstream();
-    Obstacle obstacle = tryDispatch();
-    if (obstacle == Obstacle::None)
+    BlockReason blockReason = tryDispatch();
+    if (blockReason == BlockReason::None)
         return;
     if (!m_sends)
-        m_waitedFor = obstacle;
-    if (refuseIfHopeless(obstacle))
+        m_waitedFor = blockReason;
+    if (refuseIfHopeless(blockReason))
         return;
     m_phase = Phase::Waiting;
     m_desk.wait(shared_from_this());
@@ -232,13 +232,13 @@
     return waitingTurn(m_firstByte.has_value(), m_arrived, m_route->latencyTarget, m_desk.now());
 }
 
-bool ProxiedCall::refuseIfHopeless(Obstacle obstacle)
+bool ProxiedCall::refuseIfHopeless(BlockReason blockReason)
 {
     // A stream that has begun has no refusal left: it is ended where it cannot go on.
     bool begun = m_firstByte.has_value();
     base::Instant time = m_desk.now();
     Ran ran = m_runs ? Ran::Maybe : Ran::No;
-    if (obstacle == Obstacle::NotLoaded) {
+    if (blockReason == BlockReason::NotLoaded) {
         auto expected = m_desk.expectedLoad(m_call.target);
         if (expected && *expected + shortestRun > m_beginBy && !begun) {
             m_desk.demand().onRefused(m_call.target, m_beginBy);
@@ -250,7 +250,7 @@
             return true;
         }
     }
-    if (obstacle == Obstacle::NoUpstream && time - m_arrived > patienceWithoutUpstream && !begun) {
+    if (blockReason == BlockReason::NoUpstream && time - m_arrived > patienceWithoutUpstream && !begun) {
         refuse(statusUnavailable, "no_upstream", ran, "no upstream of the service can be used", defaultRetryAfter);
         return true;
     }
--- a/packages/direct/src/ProxiedCall.h
+++ b/packages/direct/src/ProxiedCall.h
@@ -19,9 +19,9 @@
     // Checks the request and refuses it, or begins to look for an upstream.
     void start();
     // Sends it to an upstream if one can take it; tells what stands in the way otherwise.
-    Obstacle tryDispatch();
+    BlockReason tryDispatch();
     // Refuses a waiting call whose wait is of no use any more. Returns whether it did.
-    bool refuseIfHopeless(Obstacle);
+    bool refuseIfHopeless(BlockReason);
     // Refuses a call that waits and is late where more calls come than can run.
     void refuseLate();
     // Its upstream has stopped answering: a call that may be repeated moves on.
@@ -112,7 +112,7 @@
     base::Instant m_beginBy;
     std::optional<base::Instant> m_firstByte;
     // Why it had to wait before it was first sent, and when that was; for the log.
-    Obstacle m_waitedFor = Obstacle::None;
+    BlockReason m_waitedFor = BlockReason::None;
     std::optional<base::Instant> m_firstSent;
     io::EventLoop::TimerId m_timer = 0;
 
--- a/packages/direct/src/Dispatch.cpp
+++ b/packages/direct/src/UpstreamSelection.cpp
@@ -1,4 +1,4 @@
-#include "toucanstep/direct/Dispatch.h"
+#include "toucanstep/direct/UpstreamSelection.h"
 
 #include <algorithm>
 #include <functional>
@@ -21,11 +21,11 @@
 // Another failure domain costs bytes between domains; it decides only between upstreams that are about equally busy.
 constexpr double otherDomainWeight = 0.4;
 // Calls with the same beginning go to one upstream, which keeps it in its cache and need not read it again.
-constexpr double sharedPromptWeight = 1.5;
+constexpr double promptPrefixWeight = 1.5;
 // Several gateways that see the same upstreams idle must not all choose the same one: less than another domain costs.
 constexpr double spreadWeight = 0.3;
 
-bool mayTake(const UpstreamEntry& entry, const DispatchQuery& query, base::Instant now)
+bool mayTake(const UpstreamEntry& entry, const UpstreamQuery& query, base::Instant now)
 {
     const UpstreamDescription& described = entry.description;
     return described.service == query.service && !described.draining && entry.avoidUntil <= now
@@ -34,17 +34,17 @@
 
 // Of the upstreams that hold a target, the one with the lowest value is the home of a prompt's beginning: the same at
 // every gateway, and for most prompts the same after another upstream has come or gone.
-size_t homeOrder(const std::string& sharedPrompt, const base::UpstreamId& upstream)
+size_t homeOrder(const std::string& promptPrefix, const base::UpstreamId& upstream)
 {
-    return std::hash<std::string> {}(sharedPrompt + '/' + upstream.value());
+    return std::hash<std::string> {}(promptPrefix + '/' + upstream.value());
 }
 
-double spreadOf(const std::string& spreadBy, const base::UpstreamId& upstream)
+double spreadOf(const std::string& spreadKey, const base::UpstreamId& upstream)
 {
-    return spreadWeight * static_cast<double>(homeOrder(spreadBy, upstream)) / static_cast<double>(std::numeric_limits<size_t>::max());
+    return spreadWeight * static_cast<double>(homeOrder(spreadKey, upstream)) / static_cast<double>(std::numeric_limits<size_t>::max());
 }
 
-double costOf(const UpstreamEntry& entry, const DispatchQuery& query, base::Instant now)
+double costOf(const UpstreamEntry& entry, const UpstreamQuery& query, base::Instant now)
 {
     auto cost = static_cast<double>(entry.awaiting());
     cost += crowdWeight * static_cast<double>(entry.inFlight()) / static_cast<double>(entry.description.slots);
@@ -53,27 +53,27 @@
         cost += silentWeight;
     if (entry.description.domain != query.domain)
         cost += otherDomainWeight;
-    return cost + spreadOf(query.spreadBy, entry.description.id);
+    return cost + spreadOf(query.spreadKey, entry.description.id);
 }
 
 } // namespace
 
-std::string_view toText(Obstacle obstacle)
+std::string_view toText(BlockReason blockReason)
 {
-    switch (obstacle) {
-    case Obstacle::None:
+    switch (blockReason) {
+    case BlockReason::None:
         return "nothing";
-    case Obstacle::NoUpstream:
+    case BlockReason::NoUpstream:
         return "no_upstream";
-    case Obstacle::NotLoaded:
+    case BlockReason::NotLoaded:
         return "not_loaded";
-    case Obstacle::Full:
+    case BlockReason::Full:
         break;
     }
     return "full";
 }
 
-DispatchChoice chooseUpstream(const UpstreamTable& table, const DispatchQuery& query, base::Instant now)
+UpstreamSelection selectUpstream(const UpstreamTable& table, const UpstreamQuery& query, base::Instant now)
 {
     bool anyUpstream = false;
     std::vector<const UpstreamEntry*> holders;
@@ -86,9 +86,9 @@
         holders.push_back(&entry);
     }
     const UpstreamEntry* home = nullptr;
-    if (!query.sharedPrompt.empty() && !holders.empty()) {
+    if (!query.promptPrefix.empty() && !holders.empty()) {
         home = *std::min_element(holders.begin(), holders.end(), [&](const auto* left, const auto* right) {
-            return homeOrder(query.sharedPrompt, left->description.id) < homeOrder(query.sharedPrompt, right->description.id);
+            return homeOrder(query.promptPrefix, left->description.id) < homeOrder(query.promptPrefix, right->description.id);
         });
     }
     const UpstreamEntry* best = nullptr;
@@ -96,17 +96,17 @@
     for (const UpstreamEntry* entry : holders) {
         if (entry->inFlight() >= entry->description.slots)
             continue;
-        double cost = costOf(*entry, query, now) + (home && entry != home ? sharedPromptWeight : 0);
+        double cost = costOf(*entry, query, now) + (home && entry != home ? promptPrefixWeight : 0);
         if (!best || cost < bestCost) {
             best = entry;
             bestCost = cost;
         }
     }
     if (best)
-        return { Obstacle::None, best->description.id };
+        return { BlockReason::None, best->description.id };
     if (!anyUpstream)
-        return { Obstacle::NoUpstream, {} };
-    return { holders.empty() ? Obstacle::NotLoaded : Obstacle::Full, {} };
+        return { BlockReason::NoUpstream, {} };
+    return { holders.empty() ? BlockReason::NotLoaded : BlockReason::Full, {} };
 }
 
 } // namespace toucanstep::direct
--- a/packages/direct/test/DecisionTest.cpp
+++ b/packages/direct/test/DecisionTest.cpp
@@ -1,9 +1,9 @@
 #include "EventSplitter.h"
 #include "toucanstep/direct/DemandBook.h"
 #include "toucanstep/direct/DesiredState.h"
-#include "toucanstep/direct/Dispatch.h"
 #include "toucanstep/direct/FleetReports.h"
 #include "toucanstep/direct/PlannerDuty.h"
+#include "toucanstep/direct/UpstreamSelection.h"
 #include "toucanstep/testing/Property.h"
 
 #include <CppUTest/TestHarness.h>
@@ -26,9 +26,9 @@
     return description;
 }
 
-DispatchQuery asks(const std::string& model, const std::string& adapter = "")
+UpstreamQuery asks(const std::string& model, const std::string& adapter = "")
 {
-    DispatchQuery query;
+    UpstreamQuery query;
     query.service = base::ServiceId("narrator");
     query.target = { base::ModelId(model), AdapterId(adapter) };
     query.domain = base::FailureDomain("a");
@@ -37,20 +37,20 @@
 
 } // namespace
 
-TEST_GROUP(Dispatch)
+TEST_GROUP(UpstreamSelection)
 {
     UpstreamTable table;
     base::Instant now = start;
 
-    std::string chosen(const DispatchQuery& query)
+    std::string chosen(const UpstreamQuery& query)
     {
-        DispatchChoice choice = chooseUpstream(table, query, now);
-        return choice.obstacle == Obstacle::None ? choice.upstream.value() : "";
+        UpstreamSelection choice = selectUpstream(table, query, now);
+        return choice.blockReason == BlockReason::None ? choice.upstream.value() : "";
     }
-    Obstacle obstacle(const DispatchQuery& query) { return chooseUpstream(table, query, now).obstacle; }
+    BlockReason blockReason(const UpstreamQuery& query) { return selectUpstream(table, query, now).blockReason; }
 };
 
-TEST(Dispatch, ACallGoesToTheLeastBusyEngineThatHoldsItsModel)
+TEST(UpstreamSelection, ACallGoesToTheLeastBusyEngineThatHoldsItsModel)
 {
     table.put(engine("one", "m"), now);
     table.put(engine("two", "m"), now);
@@ -59,7 +59,7 @@
     STRCMP_EQUAL("two", chosen(asks("m")).c_str());
 }
 
-TEST(Dispatch, CallsThatComeToSeveralGatewaysAtOnceSpreadOverIdleUpstreams)
+TEST(UpstreamSelection, CallsThatComeToSeveralGatewaysAtOnceSpreadOverIdleUpstreams)
 {
     // Callers would queue at one engine while others idle: gateways that have not heard of each other's calls all find the
     // same engines idle, and each sends its call to the first of the list.
@@ -67,14 +67,14 @@
         table.put(engine(id, "m"), now);
     std::set<std::string> used;
     for (int call = 0; call < 30; ++call) {
-        DispatchQuery query = asks("m");
-        query.spreadBy = std::to_string(call);
+        UpstreamQuery query = asks("m");
+        query.spreadKey = std::to_string(call);
         used.insert(chosen(query));
     }
     LONGS_EQUAL(3, used.size());
 }
 
-TEST(Dispatch, CallsOfOtherGatewaysCount)
+TEST(UpstreamSelection, CallsOfOtherGatewaysCount)
 {
     table.put(engine("one", "m"), now);
     table.put(engine("two", "m"), now);
@@ -82,14 +82,14 @@
     STRCMP_EQUAL("two", chosen(asks("m")).c_str());
 }
 
-TEST(Dispatch, ACallGoesWhereFewerPromptsWaitToBeRead)
+TEST(UpstreamSelection, ACallGoesWhereFewerPromptsWaitToBeRead)
 {
     // First tokens would come late although another engine could have given them at once: an engine with many slots looked
     // idle with a dozen calls whose prompts it had yet to read, and a shared beginning drew more of them there.
     table.put(engine("one", "m", 128), now);
     table.put(engine("two", "m", 128), now);
-    DispatchQuery query = asks("m");
-    query.sharedPrompt = "5c1e07a2";
+    UpstreamQuery query = asks("m");
+    query.promptPrefix = "5c1e07a2";
     std::string home = chosen(query);
     std::string other = home == "one" ? "two" : "one";
     for (int call = 0; call < 4; ++call)
@@ -105,34 +105,34 @@
     STRCMP_EQUAL(home.c_str(), chosen(query).c_str());
 }
 
-TEST(Dispatch, WhatStandsInTheWayIsTold)
+TEST(UpstreamSelection, WhatStandsInTheWayIsTold)
 {
-    CHECK_TRUE(obstacle(asks("m")) == Obstacle::NoUpstream);
+    CHECK_TRUE(blockReason(asks("m")) == BlockReason::NoUpstream);
     table.put(engine("one", "m", 1), now);
-    CHECK_TRUE(obstacle(asks("n")) == Obstacle::NotLoaded);
-    CHECK_TRUE(obstacle(asks("m", "a1")) == Obstacle::NotLoaded);
+    CHECK_TRUE(blockReason(asks("n")) == BlockReason::NotLoaded);
+    CHECK_TRUE(blockReason(asks("m", "a1")) == BlockReason::NotLoaded);
     table.onDispatched(base::UpstreamId("one"), now);
-    CHECK_TRUE(obstacle(asks("m")) == Obstacle::Full);
+    CHECK_TRUE(blockReason(asks("m")) == BlockReason::Full);
 }
 
-TEST(Dispatch, ALeavingEngineGetsNoNewWork)
+TEST(UpstreamSelection, ALeavingEngineGetsNoNewWork)
 {
     UpstreamDescription leaving = engine("one", "m");
     leaving.draining = true;
     table.put(leaving, now);
-    CHECK_TRUE(obstacle(asks("m")) == Obstacle::NoUpstream);
+    CHECK_TRUE(blockReason(asks("m")) == BlockReason::NoUpstream);
 }
 
-TEST(Dispatch, AnUpstreamThatWasTriedIsNotTriedAgain)
+TEST(UpstreamSelection, AnUpstreamThatWasTriedIsNotTriedAgain)
 {
     table.put(engine("one", "m"), now);
     std::set<base::UpstreamId> tried { base::UpstreamId("one") };
-    DispatchQuery query = asks("m");
+    UpstreamQuery query = asks("m");
     query.tried = &tried;
-    CHECK_TRUE(obstacle(query) == Obstacle::NoUpstream);
+    CHECK_TRUE(blockReason(query) == BlockReason::NoUpstream);
 }
 
-TEST(Dispatch, AnEngineThatFailsGetsLessAndThenIsTriedAgain)
+TEST(UpstreamSelection, AnEngineThatFailsGetsLessAndThenIsTriedAgain)
 {
     // Callers would lose a part of their calls for as long as an engine fails them while its own check says that it is well.
     table.put(engine("one", "m"), now);
@@ -144,16 +144,16 @@
     STRCMP_EQUAL("one", chosen(asks("m")).c_str());
 }
 
-TEST(Dispatch, AnUnreachableUpstreamIsLeftOutForAMoment)
+TEST(UpstreamSelection, AnUnreachableUpstreamIsLeftOutForAMoment)
 {
     table.put(engine("one", "m"), now);
     table.onUnreachable(base::UpstreamId("one"), now);
-    CHECK_TRUE(obstacle(asks("m")) == Obstacle::NoUpstream);
+    CHECK_TRUE(blockReason(asks("m")) == BlockReason::NoUpstream);
     now += std::chrono::seconds(1);
     STRCMP_EQUAL("one", chosen(asks("m")).c_str());
 }
 
-TEST(Dispatch, ASilentEngineIsTheLastChoice)
+TEST(UpstreamSelection, ASilentEngineIsTheLastChoice)
 {
     table.put(engine("one", "m"), now);
     table.put(engine("two", "m"), now);
@@ -166,29 +166,29 @@
     STRCMP_EQUAL("one", chosen(asks("m")).c_str());
 }
 
-TEST(Dispatch, CallsThatShareAPromptMeetAtOneEngine)
+TEST(UpstreamSelection, CallsThatShareAPromptMeetAtOneEngine)
 {
     for (const char* id : { "one", "two", "three" })
         table.put(engine(id, "m", 32), now);
-    DispatchQuery query = asks("m");
-    query.sharedPrompt = "5c1e07a2";
+    UpstreamQuery query = asks("m");
+    query.promptPrefix = "5c1e07a2";
     std::string first = chosen(query);
     table.onDispatched(base::UpstreamId(first), now);
     STRCMP_EQUAL(first.c_str(), chosen(query).c_str());
 }
 
-TEST(Dispatch, ThePlannersNoticeGoesBeforeTheListUntilItExpires)
+TEST(UpstreamSelection, ThePlannersNoticeGoesBeforeTheListUntilItExpires)
 {
     table.put(engine("one", "m"), now);
     table.notice({ base::UpstreamId("one"), StartMark(), { base::ModelId("n"), AdapterId() }, true }, now + std::chrono::seconds(1));
     table.notice({ base::UpstreamId("one"), StartMark(), { base::ModelId("m"), AdapterId() }, false }, now + std::chrono::seconds(1));
     STRCMP_EQUAL("one", chosen(asks("n")).c_str());
-    CHECK_TRUE(obstacle(asks("m")) == Obstacle::NotLoaded);
+    CHECK_TRUE(blockReason(asks("m")) == BlockReason::NotLoaded);
     now += std::chrono::seconds(1);
     STRCMP_EQUAL("one", chosen(asks("m")).c_str());
 }
 
-TEST(Dispatch, AnotherStartOfAnEngineHasNothingOfTheOldOne)
+TEST(UpstreamSelection, AnotherStartOfAnEngineHasNothingOfTheOldOne)
 {
     table.put(engine("one", "m"), now);
     table.notice({ base::UpstreamId("one"), StartMark(), { base::ModelId("n"), AdapterId() }, true }, now + std::chrono::seconds(9));
@@ -196,7 +196,7 @@
     UpstreamDescription again = engine("one", "m");
     again.start = StartMark(7);
     table.put(again, now);
-    CHECK_TRUE(obstacle(asks("n")) == Obstacle::NotLoaded);
+    CHECK_TRUE(blockReason(asks("n")) == BlockReason::NotLoaded);
     DOUBLES_EQUAL(0, UpstreamTable::recentFailures(*table.find(base::UpstreamId("one")), now), 0.001);
 }
 
