--- a/packages/direct/include/toucanstep/direct/DemandBook.h
+++ b/packages/direct/include/toucanstep/direct/DemandTracker.h
@@ -9,7 +9,7 @@
 
 namespace toucanstep::direct {
 
-class DemandBook {
+class DemandTracker {
 public:
     void onArrival(const ModelTarget&, base::Instant now);
     void onWaiting(const ModelTarget& target, int64_t change) { m_entries[target].waiting += change; }
--- a/packages/direct/src/CallDispatcher.h
+++ b/packages/direct/src/CallDispatcher.h
@@ -5,7 +5,7 @@
 #include "toucanstep/base/Metrics.h"
 #include "toucanstep/direct/AccountLimits.h"
 #include "toucanstep/direct/CrashEvidence.h"
-#include "toucanstep/direct/DemandBook.h"
+#include "toucanstep/direct/DemandTracker.h"
 #include "toucanstep/direct/DesiredState.h"
 #include "toucanstep/direct/TokenLine.h"
 #include "toucanstep/direct/UpstreamSelection.h"
@@ -66,7 +66,7 @@
     const WireFormat& format() const { return m_format; }
     UpstreamTable& upstreams() { return m_upstreams; }
     AccountLimits& limits() { return m_limits; }
-    DemandBook& demand() { return m_demand; }
+    DemandTracker& demand() { return m_demand; }
     routing::Quarantine& quarantine() { return m_quarantine; }
     base::MetricsRegistry& metrics() { return m_metrics; }
     const CallDispatcherSettings& settings() const { return m_settings; }
@@ -113,7 +113,7 @@
     TokenLine m_tokenLine;
     std::map<HeldCallNumber, std::shared_ptr<ProxiedCall>> m_held;
     io::EventLoop::TimerId m_tokenTimer = 0;
-    DemandBook m_demand;
+    DemandTracker m_demand;
     routing::Quarantine m_quarantine;
     std::map<base::ServiceId, routing::RetryBudget> m_budgets;
     std::map<ModelTarget, base::Instant> m_expected;
--- a/packages/direct/src/DemandBook.cpp
+++ b/packages/direct/src/DemandTracker.cpp
@@ -1,4 +1,4 @@
-#include "toucanstep/direct/DemandBook.h"
+#include "toucanstep/direct/DemandTracker.h"
 
 #include <cmath>
 
@@ -17,26 +17,26 @@
 
 } // namespace
 
-double DemandBook::rateAt(const Entry& entry, base::Instant now)
+double DemandTracker::rateAt(const Entry& entry, base::Instant now)
 {
     return entry.rate * std::exp(-base::toSeconds(now - entry.rateAsOf) / averagedSeconds);
 }
 
-void DemandBook::onArrival(const ModelTarget& target, base::Instant now)
+void DemandTracker::onArrival(const ModelTarget& target, base::Instant now)
 {
     Entry& entry = m_entries[target];
     entry.rate = rateAt(entry, now) + 1 / averagedSeconds;
     entry.rateAsOf = now;
 }
 
-void DemandBook::advanceAwaiting(Entry& entry, base::Instant now)
+void DemandTracker::advanceAwaiting(Entry& entry, base::Instant now)
 {
     double kept = std::exp(-base::toSeconds(now - entry.awaitingAsOf) / awaitingAveragedSeconds);
     entry.awaitingAverage = entry.awaitingAverage * kept + static_cast<double>(entry.awaiting) * (1 - kept);
     entry.awaitingAsOf = now;
 }
 
-void DemandBook::onSent(const ModelTarget& target, base::Instant now)
+void DemandTracker::onSent(const ModelTarget& target, base::Instant now)
 {
     Entry& entry = m_entries[target];
     advanceAwaiting(entry, now);
@@ -44,14 +44,14 @@
     ++entry.awaiting;
 }
 
-void DemandBook::onAnswerBegun(const ModelTarget& target, base::Instant now)
+void DemandTracker::onAnswerBegun(const ModelTarget& target, base::Instant now)
 {
     Entry& entry = m_entries[target];
     advanceAwaiting(entry, now);
     --entry.awaiting;
 }
 
-void DemandBook::onEnded(const ModelTarget& target, bool begun, base::Instant now)
+void DemandTracker::onEnded(const ModelTarget& target, bool begun, base::Instant now)
 {
     Entry& entry = m_entries[target];
     --entry.running;
@@ -61,12 +61,12 @@
     --entry.awaiting;
 }
 
-void DemandBook::onRefused(const ModelTarget& target, base::Instant wouldHaveWaitedUntil)
+void DemandTracker::onRefused(const ModelTarget& target, base::Instant wouldHaveWaitedUntil)
 {
     m_entries[target].refusedUntil.push_back(wouldHaveWaitedUntil);
 }
 
-std::vector<TargetDemand> DemandBook::summary(base::Instant now)
+std::vector<TargetDemand> DemandTracker::summary(base::Instant now)
 {
     std::vector<TargetDemand> demand;
     for (auto& [target, entry] : m_entries)
--- a/packages/direct/test/DecisionTest.cpp
+++ b/packages/direct/test/DecisionTest.cpp
@@ -1,5 +1,5 @@
 #include "EventSplitter.h"
-#include "toucanstep/direct/DemandBook.h"
+#include "toucanstep/direct/DemandTracker.h"
 #include "toucanstep/direct/DesiredState.h"
 #include "toucanstep/direct/FleetReports.h"
 #include "toucanstep/direct/PlannerDuty.h"
@@ -383,11 +383,11 @@
     });
 }
 
-TEST_GROUP(DemandBook) {};
+TEST_GROUP(DemandTracker) {};
 
-TEST(DemandBook, DemandThatEndedFadesAndIsForgotten)
+TEST(DemandTracker, DemandThatEndedFadesAndIsForgotten)
 {
-    DemandBook book;
+    DemandTracker book;
     ModelTarget target { base::ModelId("m"), AdapterId() };
     for (int call = 0; call < 40; ++call)
         book.onArrival(target, start + std::chrono::milliseconds(100 * call));
@@ -399,9 +399,9 @@
     LONGS_EQUAL(1, book.summary(now + std::chrono::seconds(120)).at(0).waiting);
 }
 
-TEST(DemandBook, CallsWhosePromptsWaitAreAveragedOverASecondOrTwo)
+TEST(DemandTracker, CallsWhosePromptsWaitAreAveragedOverASecondOrTwo)
 {
-    DemandBook book;
+    DemandTracker book;
     ModelTarget target { base::ModelId("m"), AdapterId() };
     for (int call = 0; call < 4; ++call)
         book.onSent(target, start);
--- a/packages/direct/test/WaitingLineTest.cpp
+++ b/packages/direct/test/WaitingLineTest.cpp
@@ -1,6 +1,6 @@
 #include "toucanstep/direct/WaitingLine.h"
 
-#include "toucanstep/direct/DemandBook.h"
+#include "toucanstep/direct/DemandTracker.h"
 
 #include <CppUTest/TestHarness.h>
 #include <algorithm>
@@ -116,7 +116,7 @@
 // no load was expected in their time, so nobody waited, and the planner evicts and loads only for callers who wait.
 TEST(WaitingLine, CallersThatAreRefusedAtOnceStillCountForThePlanner)
 {
-    DemandBook demand;
+    DemandTracker demand;
     ModelTarget target { base::ModelId("m"), AdapterId() };
     demand.onArrival(target, start);
     demand.onRefused(target, start + patience);
