--- a/packages/direct/include/toucanstep/direct/TokenLine.h
+++ b/packages/direct/include/toucanstep/direct/TokenQueue.h
@@ -16,26 +16,26 @@
 
 namespace toucanstep::direct {
 
-using HeldCallNumber = base::StrongNumber<struct HeldCallNumberTag>;
+using QueuedCallNumber = base::StrongNumber<struct QueuedCallNumberTag>;
 
-enum class TokenAnswer {
+enum class TokenResult {
     Charged,
-    // Its turn will come; see TokenLine::due().
-    Held,
+    // Its turn will come; see TokenQueue::due().
+    Queued,
     Refused,
 };
 
-class TokenLine {
+class TokenQueue {
 public:
     struct Decision {
-        TokenAnswer answer = TokenAnswer::Charged;
+        TokenResult answer = TokenResult::Charged;
         // When the tokens are expected.
         base::Instant expected;
         // Of a held call.
-        HeldCallNumber number;
+        QueuedCallNumber number;
     };
     struct Due {
-        HeldCallNumber number;
+        QueuedCallNumber number;
         // Otherwise its time is over, and it is to be refused.
         bool charged = false;
         base::Instant expected;
@@ -46,19 +46,19 @@
     // Calls that need not be held any more; those that are charged have been charged.
     std::vector<Due> due(AccountLimits&, base::Instant now);
     // The call ended otherwise.
-    void remove(HeldCallNumber);
+    void remove(QueuedCallNumber);
     // When due() is worth a look, if nothing else happens before.
     std::optional<base::Instant> next(const AccountLimits&, base::Instant now) const;
     bool empty() const { return m_lines.empty(); }
 
 private:
     struct Held {
-        HeldCallNumber number;
+        QueuedCallNumber number;
         base::Tokens cost;
         base::Instant until;
     };
     std::map<base::ClientAccountId, std::deque<Held>> m_lines;
-    HeldCallNumber m_last;
+    QueuedCallNumber m_last;
 };
 
 } // namespace toucanstep::direct
--- a/packages/direct/src/CallDispatcher.cpp
+++ b/packages/direct/src/CallDispatcher.cpp
@@ -92,28 +92,28 @@
     return m_plannerHeard && now() - *m_plannerHeard < plannerSilence;
 }
 
-TokenLine::Decision CallDispatcher::takeTokens(const std::shared_ptr<ProxiedCall>& run, const base::ClientAccountId& account, base::Tokens cost, base::Instant holdUntil)
+TokenQueue::Decision CallDispatcher::takeTokens(const std::shared_ptr<ProxiedCall>& run, const base::ClientAccountId& account, base::Tokens cost, base::Instant holdUntil)
 {
-    TokenLine::Decision decision = m_tokenLine.take(m_limits, account, cost, holdUntil, now());
-    if (decision.answer == TokenAnswer::Held) {
+    TokenQueue::Decision decision = m_tokenQueue.take(m_limits, account, cost, holdUntil, now());
+    if (decision.answer == TokenResult::Queued) {
         m_held.emplace(decision.number, run);
         if (!m_tokenTimer)
-            m_tokenTimer = m_loop.at(decision.expected, [this] { serveTokenLine(); });
+            m_tokenTimer = m_loop.at(decision.expected, [this] { serveTokenQueue(); });
     }
     return decision;
 }
 
-void CallDispatcher::leaveTokenLine(HeldCallNumber number)
+void CallDispatcher::leaveTokenQueue(QueuedCallNumber number)
 {
-    m_tokenLine.remove(number);
+    m_tokenQueue.remove(number);
     m_held.erase(number);
 }
 
-void CallDispatcher::serveTokenLine()
+void CallDispatcher::serveTokenQueue()
 {
     m_loop.cancel(m_tokenTimer);
     m_tokenTimer = 0;
-    for (const auto& due : m_tokenLine.due(m_limits, now())) {
+    for (const auto& due : m_tokenQueue.due(m_limits, now())) {
         auto held = m_held.extract(due.number);
         if (held.empty())
             continue;
@@ -124,8 +124,8 @@
     }
     // A fraction of a token short is looked at again in a moment, and not at once.
     constexpr auto shortestPause = std::chrono::milliseconds(2);
-    if (auto next = m_tokenLine.next(m_limits, now()))
-        m_tokenTimer = m_loop.at(std::max(*next, now() + shortestPause), [this] { serveTokenLine(); });
+    if (auto next = m_tokenQueue.next(m_limits, now()))
+        m_tokenTimer = m_loop.at(std::max(*next, now() + shortestPause), [this] { serveTokenQueue(); });
 }
 
 void CallDispatcher::wait(const std::shared_ptr<ProxiedCall>& run)
@@ -198,8 +198,8 @@
     m_upstreams.expireNotices(time);
     m_quarantine.expire(time);
     strikeForCrashes();
-    if (!m_tokenLine.empty())
-        serveTokenLine();
+    if (!m_tokenQueue.empty())
+        serveTokenQueue();
     auto runs = m_runs;
     for (const auto& run : runs) {
         if (!run->underWay())
--- a/packages/direct/src/CallDispatcher.h
+++ b/packages/direct/src/CallDispatcher.h
@@ -7,7 +7,7 @@
 #include "toucanstep/direct/CrashEvidence.h"
 #include "toucanstep/direct/DemandTracker.h"
 #include "toucanstep/direct/DesiredState.h"
-#include "toucanstep/direct/TokenLine.h"
+#include "toucanstep/direct/TokenQueue.h"
 #include "toucanstep/direct/UpstreamSelection.h"
 #include "toucanstep/direct/UpstreamTable.h"
 #include "toucanstep/direct/WaitingLine.h"
@@ -75,8 +75,8 @@
 
     // For ProxiedCall.
     // Charges the account, or holds the call: onTokens() or onNoTokens() follows.
-    TokenLine::Decision takeTokens(const std::shared_ptr<ProxiedCall>&, const base::ClientAccountId&, base::Tokens, base::Instant holdUntil);
-    void leaveTokenLine(HeldCallNumber);
+    TokenQueue::Decision takeTokens(const std::shared_ptr<ProxiedCall>&, const base::ClientAccountId&, base::Tokens, base::Instant holdUntil);
+    void leaveTokenQueue(QueuedCallNumber);
     void wait(const std::shared_ptr<ProxiedCall>&);
     void stopWaiting(ProxiedCall&);
     void ended(ProxiedCall&);
@@ -94,7 +94,7 @@
 
 private:
     void strikeForCrashes();
-    void serveTokenLine();
+    void serveTokenQueue();
     void pump();
     // Those that wait, in the order in which they may go on now.
     std::vector<std::shared_ptr<ProxiedCall>> inTurn() const;
@@ -110,8 +110,8 @@
     base::Instant m_lastStoreContact;
     UpstreamTable m_upstreams;
     AccountLimits m_limits;
-    TokenLine m_tokenLine;
-    std::map<HeldCallNumber, std::shared_ptr<ProxiedCall>> m_held;
+    TokenQueue m_tokenQueue;
+    std::map<QueuedCallNumber, std::shared_ptr<ProxiedCall>> m_held;
     io::EventLoop::TimerId m_tokenTimer = 0;
     DemandTracker m_demand;
     routing::Quarantine m_quarantine;
--- a/packages/direct/src/ProxiedCall.cpp
+++ b/packages/direct/src/ProxiedCall.cpp
@@ -148,16 +148,16 @@
 {
     m_cost = account.countsTokens ? (m_call.statesTokens ? m_call.cost() : account.baseCost) : base::Tokens(1);
     auto holdUntil = m_arrived + std::chrono::duration_cast<base::Duration>(m_route->latencyTarget * heldPart);
-    TokenLine::Decision decision = m_desk.takeTokens(shared_from_this(), m_account, m_cost, holdUntil);
+    TokenQueue::Decision decision = m_desk.takeTokens(shared_from_this(), m_account, m_cost, holdUntil);
     switch (decision.answer) {
-    case TokenAnswer::Charged:
+    case TokenResult::Charged:
         m_charged = m_cost;
         return true;
-    case TokenAnswer::Held:
+    case TokenResult::Queued:
         m_held = decision.number;
         m_phase = Phase::Held;
         return false;
-    case TokenAnswer::Refused:
+    case TokenResult::Refused:
         onNoTokens(decision.expected);
         break;
     }
@@ -588,7 +588,7 @@
 {
     m_phase = Phase::Done;
     if (m_held)
-        m_desk.leaveTokenLine(*m_held);
+        m_desk.leaveTokenQueue(*m_held);
     m_desk.loop().cancel(m_timer);
     base::Instant time = m_desk.now();
     base::LogLine line("call_ended");
--- a/packages/direct/src/ProxiedCall.h
+++ b/packages/direct/src/ProxiedCall.h
@@ -102,7 +102,7 @@
     routing::RequestFingerprint m_fingerprint;
     base::Tokens m_cost;
     base::Tokens m_charged;
-    std::optional<HeldCallNumber> m_held;
+    std::optional<QueuedCallNumber> m_held;
     int64_t m_rank = 0;
     uint64_t m_waitNumber = 0;
     Phase m_phase = Phase::Checking;
--- a/packages/direct/src/TokenLine.cpp
+++ b/packages/direct/src/TokenQueue.cpp
@@ -1,10 +1,10 @@
-#include "toucanstep/direct/TokenLine.h"
+#include "toucanstep/direct/TokenQueue.h"
 
 #include <algorithm>
 
 namespace toucanstep::direct {
 
-TokenLine::Decision TokenLine::take(AccountLimits& limits, const base::ClientAccountId& account, base::Tokens cost, base::Instant holdUntil, base::Instant now)
+TokenQueue::Decision TokenQueue::take(AccountLimits& limits, const base::ClientAccountId& account, base::Tokens cost, base::Instant holdUntil, base::Instant now)
 {
     base::Tokens ahead;
     auto line = m_lines.find(account);
@@ -17,13 +17,13 @@
     }
     base::Instant expected = limits.expected(account, ahead + cost, now);
     if (expected > holdUntil)
-        return { TokenAnswer::Refused, expected, {} };
-    m_last = HeldCallNumber(m_last.value() + 1);
+        return { TokenResult::Refused, expected, {} };
+    m_last = QueuedCallNumber(m_last.value() + 1);
     m_lines[account].push_back({ m_last, cost, holdUntil });
-    return { TokenAnswer::Held, expected, m_last };
+    return { TokenResult::Queued, expected, m_last };
 }
 
-std::vector<TokenLine::Due> TokenLine::due(AccountLimits& limits, base::Instant now)
+std::vector<TokenQueue::Due> TokenQueue::due(AccountLimits& limits, base::Instant now)
 {
     std::vector<Due> list;
     for (auto& [account, line] : m_lines) {
@@ -40,14 +40,14 @@
     return list;
 }
 
-void TokenLine::remove(HeldCallNumber number)
+void TokenQueue::remove(QueuedCallNumber number)
 {
     for (auto& [account, line] : m_lines)
         std::erase_if(line, [&](const Held& held) { return held.number == number; });
     std::erase_if(m_lines, [](const auto& entry) { return entry.second.empty(); });
 }
 
-std::optional<base::Instant> TokenLine::next(const AccountLimits& limits, base::Instant now) const
+std::optional<base::Instant> TokenQueue::next(const AccountLimits& limits, base::Instant now) const
 {
     std::optional<base::Instant> soonest;
     for (const auto& [account, line] : m_lines) {
--- a/packages/direct/test/TokenLineTest.cpp
+++ b/packages/direct/test/TokenQueueTest.cpp
@@ -1,4 +1,4 @@
-#include "toucanstep/direct/TokenLine.h"
+#include "toucanstep/direct/TokenQueue.h"
 
 #include <CppUTest/TestHarness.h>
 
@@ -14,11 +14,11 @@
 } // namespace
 
 // One gateway and one account with a thousand tokens a second, whose bucket is empty at the start.
-TEST_GROUP(TokenLine)
+TEST_GROUP(TokenQueue)
 {
     const base::ClientAccountId farm { "farm" };
     AccountLimits limits { AccountLimitsSettings {} };
-    TokenLine line;
+    TokenQueue line;
     base::Instant now = start;
 
     void setup() override
@@ -31,8 +31,8 @@
         state.accounts.push_back(account);
         limits.setAccounts(state, now);
     }
-    TokenLine::Decision take(int64_t cost, base::Duration patience) { return line.take(limits, farm, Tokens(cost), now + patience, now); }
-    std::vector<TokenLine::Due> dueAt(base::Instant then)
+    TokenQueue::Decision take(int64_t cost, base::Duration patience) { return line.take(limits, farm, Tokens(cost), now + patience, now); }
+    std::vector<TokenQueue::Due> dueAt(base::Instant then)
     {
         now = then;
         return line.due(limits, now);
@@ -41,10 +41,10 @@
 
 // All gateways had been killed, and began again with empty buckets. Every caller of the first second was refused, came back
 // with all others, and found the tokens gone again; they would all have been there within a third of a second.
-TEST(TokenLine, ACallWaitsForTokensThatComeSoon)
+TEST(TokenQueue, ACallWaitsForTokensThatComeSoon)
 {
     auto decision = take(200, ms(300));
-    CHECK_TRUE(decision.answer == TokenAnswer::Held);
+    CHECK_TRUE(decision.answer == TokenResult::Queued);
     LONGS_EQUAL(200, base::toMilliseconds(decision.expected - now));
     CHECK_TRUE(dueAt(start + ms(199)).empty());
     auto due = dueAt(start + ms(200));
@@ -53,27 +53,27 @@
     CHECK_TRUE(line.empty());
 }
 
-TEST(TokenLine, ACallWhoseTokensComeTooLateIsToldWhenAtOnce)
+TEST(TokenQueue, ACallWhoseTokensComeTooLateIsToldWhenAtOnce)
 {
     take(250, ms(300));
     auto decision = take(150, ms(300));
-    CHECK_TRUE(decision.answer == TokenAnswer::Refused);
+    CHECK_TRUE(decision.answer == TokenResult::Refused);
     LONGS_EQUAL(400, base::toMilliseconds(decision.expected - now));
 }
 
-TEST(TokenLine, NobodyOvertakes)
+TEST(TokenQueue, NobodyOvertakes)
 {
     auto large = take(250, ms(300));
     now += ms(100);
     // There are tokens for this one, but they are meant for the one before it.
     auto small = take(20, ms(300));
-    CHECK_TRUE(small.answer == TokenAnswer::Held);
+    CHECK_TRUE(small.answer == TokenResult::Queued);
     auto due = dueAt(start + ms(270));
     LONGS_EQUAL(2, due.size());
     CHECK_TRUE(due[0].number == large.number && due[1].number == small.number);
 }
 
-TEST(TokenLine, ACallWhoseTokensWereSpentElsewhereIsRefusedAfterItsTime)
+TEST(TokenQueue, ACallWhoseTokensWereSpentElsewhereIsRefusedAfterItsTime)
 {
     take(250, ms(300));
     limits.onReport(base::InstanceId("other"), { Incarnation(1), { { farm, Tokens(0) } } }, now);
@@ -85,12 +85,12 @@
     CHECK_TRUE(due[0].expected > now);
 }
 
-TEST(TokenLine, ACallThatEndsLeavesItsPlace)
+TEST(TokenQueue, ACallThatEndsLeavesItsPlace)
 {
     auto first = take(250, ms(300));
     auto second = take(40, ms(300));
     line.remove(first.number);
     CHECK_TRUE(*line.next(limits, now) == start + ms(40));
     LONGS_EQUAL(1, dueAt(start + ms(40)).size());
-    CHECK_TRUE(second.answer == TokenAnswer::Held && line.empty());
+    CHECK_TRUE(second.answer == TokenResult::Queued && line.empty());
 }
