--- a/packages/direct/include/toucanstep/direct/WaitingLine.h
+++ b/packages/direct/include/toucanstep/direct/QueueDiscipline.h
@@ -19,43 +19,43 @@
 namespace toucanstep::direct {
 
 // Where a call stands among those of its rank.
-enum class WaitingTurn {
+enum class QueueClass {
     // A stream that has begun and moves to another upstream.
-    Begun,
+    Resuming,
     InTime,
     Late,
 };
 
 // Without a latency target (zero) a call is never late.
-WaitingTurn waitingTurn(bool begun, base::Instant arrived, base::Duration latencyTarget, base::Instant now);
+QueueClass queueClassOf(bool begun, base::Instant arrived, base::Duration latencyTarget, base::Instant now);
 
 // Lower places go first.
-struct WaitingPlace {
+struct QueuePosition {
     // 0 is the most urgent.
     int64_t rank = 0;
-    WaitingTurn turn = WaitingTurn::InTime;
+    QueueClass turn = QueueClass::InTime;
     // Grows with each call.
     uint64_t number = 0;
 
-    auto operator<=>(const WaitingPlace&) const = default;
+    auto operator<=>(const QueuePosition&) const = default;
 };
 
 // Calls that wait for the same thing.
-using WaitingLine = std::tuple<base::ServiceId, ModelTarget>;
+using QueueKey = std::tuple<base::ServiceId, ModelTarget>;
 
 // Knows the lines in which late calls have been standing without a break.
-class StandingLines {
+class StandingQueueDetector {
 public:
-    // All waiting calls are looked at once, from here to endLook().
-    void beginLook(base::Instant now);
+    // All waiting calls are looked at once, from here to endPass().
+    void beginPass(base::Instant now);
     // A late call found its upstreams full. Returns whether it is to be refused.
-    bool refusesLate(const WaitingLine&);
-    void endLook();
+    bool shouldRefuseLate(const QueueKey&);
+    void endPass();
 
 private:
     base::Instant m_now;
-    std::map<WaitingLine, base::Instant> m_since;
-    std::map<WaitingLine, base::Instant> m_seen;
+    std::map<QueueKey, base::Instant> m_since;
+    std::map<QueueKey, base::Instant> m_seen;
 };
 
 } // namespace toucanstep::direct
--- a/packages/direct/src/CallDispatcher.cpp
+++ b/packages/direct/src/CallDispatcher.cpp
@@ -160,9 +160,9 @@
 
 std::vector<std::shared_ptr<ProxiedCall>> CallDispatcher::inTurn() const
 {
-    std::map<WaitingPlace, std::shared_ptr<ProxiedCall>> places;
+    std::map<QueuePosition, std::shared_ptr<ProxiedCall>> places;
     for (const auto& [number, run] : m_waiting)
-        places.emplace(WaitingPlace { run->rank(), run->turn(), number }, run);
+        places.emplace(QueuePosition { run->rank(), run->turn(), number }, run);
     std::vector<std::shared_ptr<ProxiedCall>> runs;
     for (auto& [place, run] : places)
         runs.push_back(std::move(run));
@@ -173,23 +173,23 @@
 {
     m_pumpDue = false;
     // Behind a call that finds its upstreams full, others for the same target need not look.
-    std::map<WaitingLine, BlockReason> blocked;
-    m_standing.beginLook(now());
+    std::map<QueueKey, BlockReason> blocked;
+    m_standing.beginPass(now());
     for (const auto& run : inTurn()) {
-        WaitingLine line(run->service(), run->target());
+        QueueKey line(run->service(), run->target());
         auto known = blocked.find(line);
         BlockReason blockReason = known != blocked.end() && run->untried() ? known->second : run->tryDispatch();
         if (blockReason == BlockReason::None)
             continue;
         if (run->untried())
             blocked.emplace(line, blockReason);
-        bool late = blockReason == BlockReason::Full && run->turn() == WaitingTurn::Late;
-        if (late && m_standing.refusesLate(line))
+        bool late = blockReason == BlockReason::Full && run->turn() == QueueClass::Late;
+        if (late && m_standing.shouldRefuseLate(line))
             run->refuseLate();
         else
             run->refuseIfHopeless(blockReason);
     }
-    m_standing.endLook();
+    m_standing.endPass();
 }
 
 void CallDispatcher::tick()
--- a/packages/direct/src/CallDispatcher.h
+++ b/packages/direct/src/CallDispatcher.h
@@ -7,10 +7,10 @@
 #include "toucanstep/direct/CrashEvidence.h"
 #include "toucanstep/direct/DemandTracker.h"
 #include "toucanstep/direct/DesiredState.h"
+#include "toucanstep/direct/QueueDiscipline.h"
 #include "toucanstep/direct/TokenQueue.h"
 #include "toucanstep/direct/UpstreamSelection.h"
 #include "toucanstep/direct/UpstreamTable.h"
-#include "toucanstep/direct/WaitingLine.h"
 #include "toucanstep/direct/WireFormat.h"
 #include "toucanstep/http1/Client.h"
 #include "toucanstep/http1/Server.h"
@@ -120,7 +120,7 @@
     std::optional<base::Instant> m_plannerHeard;
     std::function<void()> m_onTargetMissing;
     std::set<std::shared_ptr<ProxiedCall>> m_runs;
-    StandingLines m_standing;
+    StandingQueueDetector m_standing;
     // By the number under which each began to wait.
     std::map<uint64_t, std::shared_ptr<ProxiedCall>> m_waiting;
     uint64_t m_lastNumber = 0;
--- a/packages/direct/src/ProxiedCall.cpp
+++ b/packages/direct/src/ProxiedCall.cpp
@@ -227,9 +227,9 @@
     m_desk.wait(shared_from_this());
 }
 
-WaitingTurn ProxiedCall::turn() const
+QueueClass ProxiedCall::turn() const
 {
-    return waitingTurn(m_firstByte.has_value(), m_arrived, m_route->latencyTarget, m_desk.now());
+    return queueClassOf(m_firstByte.has_value(), m_arrived, m_route->latencyTarget, m_desk.now());
 }
 
 bool ProxiedCall::refuseIfHopeless(BlockReason blockReason)
--- a/packages/direct/src/ProxiedCall.h
+++ b/packages/direct/src/ProxiedCall.h
@@ -33,7 +33,7 @@
     // They have not come in time.
     void onNoTokens(base::Instant expected);
 
-    WaitingTurn turn() const;
+    QueueClass turn() const;
 
     const base::ServiceId& service() const { return m_service; }
     const ModelTarget& target() const { return m_call.target; }
--- a/packages/direct/src/WaitingLine.cpp
+++ b/packages/direct/src/QueueDiscipline.cpp
@@ -1,4 +1,4 @@
-#include "toucanstep/direct/WaitingLine.h"
+#include "toucanstep/direct/QueueDiscipline.h"
 
 namespace toucanstep::direct {
 
@@ -10,28 +10,28 @@
 
 } // namespace
 
-WaitingTurn waitingTurn(bool begun, base::Instant arrived, base::Duration latencyTarget, base::Instant now)
+QueueClass queueClassOf(bool begun, base::Instant arrived, base::Duration latencyTarget, base::Instant now)
 {
     if (begun)
-        return WaitingTurn::Begun;
+        return QueueClass::Resuming;
     bool mayBeLate = latencyTarget > base::Duration::zero();
-    return !mayBeLate || now < arrived + latencyTarget ? WaitingTurn::InTime : WaitingTurn::Late;
+    return !mayBeLate || now < arrived + latencyTarget ? QueueClass::InTime : QueueClass::Late;
 }
 
-void StandingLines::beginLook(base::Instant now)
+void StandingQueueDetector::beginPass(base::Instant now)
 {
     m_now = now;
     m_seen.clear();
 }
 
-bool StandingLines::refusesLate(const WaitingLine& line)
+bool StandingQueueDetector::shouldRefuseLate(const QueueKey& line)
 {
     auto known = m_since.find(line);
     auto since = m_seen.emplace(line, known == m_since.end() ? m_now : known->second).first;
     return m_now - since->second > standingAfter;
 }
 
-void StandingLines::endLook()
+void StandingQueueDetector::endPass()
 {
     m_since.swap(m_seen);
 }
--- a/packages/direct/test/WaitingLineTest.cpp
+++ b/packages/direct/test/QueueDisciplineTest.cpp
@@ -1,4 +1,4 @@
-#include "toucanstep/direct/WaitingLine.h"
+#include "toucanstep/direct/QueueDiscipline.h"
 
 #include "toucanstep/direct/DemandTracker.h"
 
@@ -15,7 +15,7 @@
 constexpr auto step = std::chrono::milliseconds(25);
 constexpr auto latencyTarget = std::chrono::milliseconds(300);
 constexpr auto patience = std::chrono::seconds(2);
-const WaitingLine line { base::ServiceId("engines"), { base::ModelId("m"), AdapterId() } };
+const QueueKey line { base::ServiceId("engines"), { base::ModelId("m"), AdapterId() } };
 
 struct Overload {
     int64_t servedInTime = 0;
@@ -33,7 +33,7 @@
 Overload replayOverload(bool inTurn)
 {
     Overload result;
-    StandingLines standing;
+    StandingQueueDetector standing;
     std::vector<Waiting> calls;
     for (int64_t tick = 0; tick < 400; ++tick) {
         base::Instant now = start + tick * step;
@@ -44,8 +44,8 @@
             return leaves;
         });
         auto placeOf = [&](const Waiting& call) {
-            auto turn = inTurn ? waitingTurn(false, call.arrived, latencyTarget, now) : WaitingTurn::InTime;
-            return WaitingPlace { 0, turn, call.number };
+            auto turn = inTurn ? queueClassOf(false, call.arrived, latencyTarget, now) : QueueClass::InTime;
+            return QueuePosition { 0, turn, call.number };
         };
         std::sort(calls.begin(), calls.end(), [&](const Waiting& left, const Waiting& right) { return placeOf(left) < placeOf(right); });
         if (tick % 2) {
@@ -54,26 +54,26 @@
         }
         if (!inTurn)
             continue;
-        standing.beginLook(now);
+        standing.beginPass(now);
         std::erase_if(calls, [&](const Waiting& call) {
-            bool refused = placeOf(call).turn == WaitingTurn::Late && standing.refusesLate(line);
+            bool refused = placeOf(call).turn == QueueClass::Late && standing.shouldRefuseLate(line);
             if (refused)
                 result.longestUntilRefused = std::max<base::Duration>(result.longestUntilRefused, now - call.arrived);
             result.refused += refused ? 1 : 0;
             return refused;
         });
-        standing.endLook();
+        standing.endPass();
     }
     return result;
 }
 
 } // namespace
 
-TEST_GROUP(WaitingLine) {};
+TEST_GROUP(QueueDiscipline) {};
 
 // Twice as many callers came for one model as its engines could run, for seconds. Each waited in line until it was late, the
 // engines ran late calls only, and half of the callers left after two seconds without a word.
-TEST(WaitingLine, UnderOverloadTheEnginesRunCallsThatAreInTime)
+TEST(QueueDiscipline, UnderOverloadTheEnginesRunCallsThatAreInTime)
 {
     Overload firstInFirstOut = replayOverload(false);
     Overload inTurn = replayOverload(true);
@@ -85,36 +85,36 @@
     CHECK_TRUE(inTurn.longestUntilRefused < patience);
 }
 
-TEST(WaitingLine, AStreamThatHasBegunGoesFirstAndALateCallLast)
+TEST(QueueDiscipline, AStreamThatHasBegunGoesFirstAndALateCallLast)
 {
-    WaitingPlace begun { 1, waitingTurn(true, start, latencyTarget, start + patience), 3 };
-    WaitingPlace inTime { 1, waitingTurn(false, start, latencyTarget, start), 2 };
-    WaitingPlace late { 1, waitingTurn(false, start, latencyTarget, start + latencyTarget), 1 };
+    QueuePosition begun { 1, queueClassOf(true, start, latencyTarget, start + patience), 3 };
+    QueuePosition inTime { 1, queueClassOf(false, start, latencyTarget, start), 2 };
+    QueuePosition late { 1, queueClassOf(false, start, latencyTarget, start + latencyTarget), 1 };
     CHECK_TRUE(begun < inTime);
     CHECK_TRUE(inTime < late);
-    CHECK_TRUE(waitingTurn(false, start, {}, start + patience) == WaitingTurn::InTime);
+    CHECK_TRUE(queueClassOf(false, start, {}, start + patience) == QueueClass::InTime);
     // A more urgent rank goes before all of them.
-    CHECK_TRUE((WaitingPlace { 0, WaitingTurn::Late, 9 }) < begun);
+    CHECK_TRUE((QueuePosition { 0, QueueClass::Late, 9 }) < begun);
 }
 
-TEST(WaitingLine, AShortBurstRefusesNobody)
+TEST(QueueDiscipline, AShortBurstRefusesNobody)
 {
-    StandingLines standing;
+    StandingQueueDetector standing;
     for (int look = 0; look < 9; ++look) {
-        standing.beginLook(start + look * std::chrono::milliseconds(100));
-        CHECK_FALSE(standing.refusesLate(line));
-        standing.endLook();
+        standing.beginPass(start + look * std::chrono::milliseconds(100));
+        CHECK_FALSE(standing.shouldRefuseLate(line));
+        standing.endPass();
     }
     // The line was empty in between.
-    standing.beginLook(start + std::chrono::milliseconds(900));
-    standing.endLook();
-    standing.beginLook(start + std::chrono::milliseconds(1500));
-    CHECK_FALSE(standing.refusesLate(line));
+    standing.beginPass(start + std::chrono::milliseconds(900));
+    standing.endPass();
+    standing.beginPass(start + std::chrono::milliseconds(1500));
+    CHECK_FALSE(standing.shouldRefuseLate(line));
 }
 
 // A model was loaded nowhere for eleven seconds although a disk had it: its callers were refused as soon as they came, since
 // no load was expected in their time, so nobody waited, and the planner evicts and loads only for callers who wait.
-TEST(WaitingLine, CallersThatAreRefusedAtOnceStillCountForThePlanner)
+TEST(QueueDiscipline, CallersThatAreRefusedAtOnceStillCountForThePlanner)
 {
     DemandTracker demand;
     ModelTarget target { base::ModelId("m"), AdapterId() };
