--- a/packages/direct/include/toucanstep/direct/CrashEvidence.h
+++ b/packages/direct/include/toucanstep/direct/CrashDetector.h
@@ -16,22 +16,22 @@
 
 namespace toucanstep::direct {
 
-struct CrashSuspicion {
+struct SuspectedCrash {
     base::UpstreamId upstream;
     StartMark start;
     routing::RequestFingerprint fingerprint;
-    base::Instant brokeAt;
+    base::Instant disconnectedAt;
 };
 
-class CrashEvidence {
+class CrashDetector {
 public:
-    void onBroken(CrashSuspicion suspicion) { m_suspicions.push_back(std::move(suspicion)); }
+    void onBroken(SuspectedCrash suspicion) { m_suspicions.push_back(std::move(suspicion)); }
     void onHeard(const base::UpstreamId&, base::Instant now);
     // Those for whose upstreams nothing spoke in time; they are forgotten here.
-    std::vector<CrashSuspicion> takeConfirmed(base::Instant now);
+    std::vector<SuspectedCrash> takeConfirmed(base::Instant now);
 
 private:
-    std::vector<CrashSuspicion> m_suspicions;
+    std::vector<SuspectedCrash> m_suspicions;
 };
 
 } // namespace toucanstep::direct
--- a/packages/direct/src/CallDispatcher.h
+++ b/packages/direct/src/CallDispatcher.h
@@ -4,7 +4,7 @@
 
 #include "toucanstep/base/Metrics.h"
 #include "toucanstep/direct/AccountLimits.h"
-#include "toucanstep/direct/CrashEvidence.h"
+#include "toucanstep/direct/CrashDetector.h"
 #include "toucanstep/direct/DemandTracker.h"
 #include "toucanstep/direct/DesiredState.h"
 #include "toucanstep/direct/QueueDiscipline.h"
@@ -126,7 +126,7 @@
     uint64_t m_lastNumber = 0;
     io::EventLoop::TimerId m_pumpTimer = 0;
     bool m_pumpDue = false;
-    CrashEvidence m_crashes;
+    CrashDetector m_crashes;
     std::vector<std::pair<base::Instant, routing::StrikeMessage>> m_strikes;
 };
 
--- a/packages/direct/src/CrashEvidence.cpp
+++ b/packages/direct/src/CrashDetector.cpp
@@ -1,4 +1,4 @@
-#include "toucanstep/direct/CrashEvidence.h"
+#include "toucanstep/direct/CrashDetector.h"
 
 #include <algorithm>
 
@@ -13,17 +13,17 @@
 
 } // namespace
 
-void CrashEvidence::onHeard(const base::UpstreamId& upstream, base::Instant now)
+void CrashDetector::onHeard(const base::UpstreamId& upstream, base::Instant now)
 {
     if (m_suspicions.empty())
         return;
-    std::erase_if(m_suspicions, [&](const CrashSuspicion& suspicion) { return suspicion.upstream == upstream && now - suspicion.brokeAt > stillOnItsWay; });
+    std::erase_if(m_suspicions, [&](const SuspectedCrash& suspicion) { return suspicion.upstream == upstream && now - suspicion.disconnectedAt > stillOnItsWay; });
 }
 
-std::vector<CrashSuspicion> CrashEvidence::takeConfirmed(base::Instant now)
+std::vector<SuspectedCrash> CrashDetector::takeConfirmed(base::Instant now)
 {
-    auto confirmed = std::stable_partition(m_suspicions.begin(), m_suspicions.end(), [&](const CrashSuspicion& suspicion) { return now - suspicion.brokeAt < confirmedAfter; });
-    std::vector<CrashSuspicion> taken(confirmed, m_suspicions.end());
+    auto confirmed = std::stable_partition(m_suspicions.begin(), m_suspicions.end(), [&](const SuspectedCrash& suspicion) { return now - suspicion.disconnectedAt < confirmedAfter; });
+    std::vector<SuspectedCrash> taken(confirmed, m_suspicions.end());
     m_suspicions.erase(confirmed, m_suspicions.end());
     return taken;
 }
--- a/packages/direct/test/CrashEvidenceTest.cpp
+++ b/packages/direct/test/CrashDetectorTest.cpp
@@ -1,4 +1,4 @@
-#include "toucanstep/direct/CrashEvidence.h"
+#include "toucanstep/direct/CrashDetector.h"
 
 #include <CppUTest/TestHarness.h>
 
@@ -11,25 +11,25 @@
 constexpr auto millisecond = std::chrono::milliseconds(1);
 const base::UpstreamId engine("e");
 
-CrashSuspicion suspicion(const char* fingerprint = "f") { return { engine, StartMark(1), routing::RequestFingerprint(fingerprint), start }; }
+SuspectedCrash suspicion(const char* fingerprint = "f") { return { engine, StartMark(1), routing::RequestFingerprint(fingerprint), start }; }
 
 } // namespace
 
-TEST_GROUP(CrashEvidence)
+TEST_GROUP(CrashDetector)
 {
-    CrashEvidence evidence;
+    CrashDetector evidence;
 };
 
 // Every call of an account to one path was refused as quarantined for a minute (soak, seeds 138 and 156): its requests are
 // alike, something between had reset the connections to two engines, and both counted as crashes that the request had caused.
-TEST(CrashEvidence, AnUpstreamThatIsHeardAfterAResetHasNotCrashed)
+TEST(CrashDetector, AnUpstreamThatIsHeardAfterAResetHasNotCrashed)
 {
     evidence.onBroken(suspicion());
     evidence.onHeard(engine, start + 200 * millisecond);
     CHECK_TRUE(evidence.takeConfirmed(start + 600 * millisecond).empty());
 }
 
-TEST(CrashEvidence, AnUpstreamThatStaysSilentHasCrashed)
+TEST(CrashDetector, AnUpstreamThatStaysSilentHasCrashed)
 {
     evidence.onBroken(suspicion());
     evidence.onHeard(base::UpstreamId("another"), start + 200 * millisecond);
