--- a/packages/direct/include/toucanstep/direct/Call.h
+++ b/packages/direct/include/toucanstep/direct/Call.h
@@ -24,13 +24,13 @@
 };
 
 // A part of a prompt that other calls may share; `hash` names its content.
-struct PromptPart {
+struct PromptSegment {
     std::string hash;
     base::Tokens tokens;
 };
 
 // What a caller says about its request beside method, target and body.
-struct CallerCall {
+struct CallMetadata {
     base::RequestId id;
     // As shown by the caller; it goes no further than the gateway.
     std::string key;
@@ -38,11 +38,11 @@
     ModelTarget target;
     base::Tokens promptTokens;
     base::Tokens maximumOutputTokens;
-    bool statesTokens = false;
+    bool declaresTokens = false;
     // In order; the last one belongs to the call itself or to its session.
-    std::vector<PromptPart> prompt;
+    std::vector<PromptSegment> prompt;
     // The event behind which a stream goes on; empty for a new one.
-    std::string resumeBehind;
+    std::string resumeAfter;
 
     base::Tokens cost() const { return promptTokens + maximumOutputTokens; }
 };
@@ -52,20 +52,20 @@
     base::UpstreamId upstream;
     base::ClientAccountId account;
     base::Duration timeLeft {};
-    // 0 is the most urgent, leastUrgent the least.
+    // 0 is the most urgent, lowestPriority the least.
     int64_t priority = 0;
-    std::string resumeBehind;
+    std::string resumeAfter;
 };
 
-constexpr int64_t leastUrgent = 9;
+constexpr int64_t lowestPriority = 9;
 
 // What an upstream's head tells beside its status.
-struct UpstreamVerdict {
+struct ResponseMetadata {
     base::RequestId id;
     // Proved by the upstream: the call has not run there.
     bool notRun = false;
     // The upstream vouches for the answer's bytes.
-    bool vouched = false;
+    bool hasSignature = false;
     bool streaming = false;
 };
 
--- a/packages/direct/include/toucanstep/direct/WireFormat.h
+++ b/packages/direct/include/toucanstep/direct/WireFormat.h
@@ -36,11 +36,11 @@
     virtual std::shared_ptr<const DesiredState> readDesiredState(std::string_view value, std::string& reason) const = 0;
     virtual std::optional<UpstreamDescription> readUpstream(std::string_view key, std::string_view value, std::string& reason) const = 0;
 
-    virtual std::optional<CallerCall> readCall(const http1::RequestHead&, std::string& reason) const = 0;
+    virtual std::optional<CallMetadata> readCall(const http1::RequestHead&, std::string& reason) const = 0;
     // Headers that only the system sets: what a caller sends under these names goes nowhere.
     virtual bool isSystemHeader(std::string_view name) const = 0;
     virtual void appendForwardedHeaders(std::string& out, const ForwardedCall&) const = 0;
-    virtual UpstreamVerdict readVerdict(const http1::ResponseHead&) const = 0;
+    virtual ResponseMetadata readVerdict(const http1::ResponseHead&) const = 0;
 
     virtual ControlRequest reportRequest(const base::UpstreamId&) const = 0;
     virtual std::optional<EngineReport> readReport(std::string_view body) const = 0;
--- a/packages/direct/src/ProxiedCall.cpp
+++ b/packages/direct/src/ProxiedCall.cpp
@@ -146,7 +146,7 @@
 
 bool ProxiedCall::takeTokens(const Account& account)
 {
-    m_cost = account.countsTokens ? (m_call.statesTokens ? m_call.cost() : account.baseCost) : base::Tokens(1);
+    m_cost = account.countsTokens ? (m_call.declaresTokens ? m_call.cost() : account.baseCost) : base::Tokens(1);
     auto holdUntil = m_arrived + std::chrono::duration_cast<base::Duration>(m_route->latencyTarget * heldPart);
     TokenQueue::Decision decision = m_desk.takeTokens(shared_from_this(), m_account, m_cost, holdUntil);
     switch (decision.answer) {
@@ -279,8 +279,8 @@
     forwarded.upstream = upstream;
     forwarded.account = m_account;
     forwarded.timeLeft = left();
-    forwarded.priority = std::clamp<int64_t>(m_rank, 0, leastUrgent);
-    forwarded.resumeBehind = m_events.lastId().empty() ? m_call.resumeBehind : m_events.lastId();
+    forwarded.priority = std::clamp<int64_t>(m_rank, 0, lowestPriority);
+    forwarded.resumeAfter = m_events.lastId().empty() ? m_call.resumeAfter : m_events.lastId();
     m_desk.format().appendForwardedHeaders(out, forwarded);
     bool hasBody = !m_caller->body().empty() || head.headers.find("content-length") || head.headers.find("transfer-encoding");
     if (hasBody)
@@ -339,7 +339,7 @@
     m_desk.heardFrom(m_upstream);
     auto self = shared_from_this();
     bool foreign = !m_verdict.id.empty() && m_verdict.id != m_call.id;
-    bool good = m_head.status < statusRedirects && m_verdict.vouched && !foreign;
+    bool good = m_head.status < statusRedirects && m_verdict.hasSignature && !foreign;
     if (good && m_verdict.streaming) {
         if (!m_firstByte)
             beginStream();
@@ -400,7 +400,7 @@
         onServerError();
         return;
     }
-    if (m_head.status < statusRedirects && !m_verdict.vouched) {
+    if (m_head.status < statusRedirects && !m_verdict.hasSignature) {
         failed("the upstream does not vouch for its answer");
         return;
     }
--- a/packages/direct/src/ProxiedCall.h
+++ b/packages/direct/src/ProxiedCall.h
@@ -96,7 +96,7 @@
     base::Instant m_lastStoreContact;
     // Of m_state.
     const Route* m_route = nullptr;
-    CallerCall m_call;
+    CallMetadata m_call;
     base::ClientAccountId m_account;
     base::ServiceId m_service;
     routing::RequestFingerprint m_fingerprint;
@@ -125,7 +125,7 @@
     int64_t m_retries = 0;
 
     http1::ResponseHead m_head;
-    UpstreamVerdict m_verdict;
+    ResponseMetadata m_verdict;
     bool m_haveHead = false;
     std::string m_body;
     bool m_passThrough = false;
