--- a/packages/direct/include/toucanstep/direct/AccountLimits.h
+++ b/packages/direct/include/toucanstep/direct/AccountLimits.h
@@ -44,10 +44,10 @@
     base::Duration startTime = std::chrono::milliseconds(600);
 };
 
-struct AccountStock {
+struct AccountBalance {
     base::ClientAccountId account;
     // Below zero where more was spent than there was.
-    base::Tokens stock;
+    base::Tokens balance;
 };
 
 // What a gateway tells its peers of the limits.
@@ -55,18 +55,18 @@
     Incarnation incarnation;
     std::vector<AccountCharge> charges;
     // Gateways that count and that the sender has not heard of late.
-    std::vector<base::InstanceId> unheard;
+    std::vector<base::InstanceId> silentPeers;
     // The same for all senders that hear the same gateways, themselves included.
-    int64_t heardDigest = 0;
+    int64_t liveSetDigest = 0;
     // What the buckets hold, while a gateway that has just started is heard.
-    std::vector<AccountStock> stocks;
+    std::vector<AccountBalance> balances;
 };
 
 class AccountLimits {
 public:
     explicit AccountLimits(AccountLimitsSettings);
 
-    // Limits that were lowered apply to the stock at once.
+    // Limits that were lowered apply to the balance at once.
     void setAccounts(const DesiredState&, base::Instant now);
     // The other gateways, as the list has them.
     void setPeers(const std::set<base::InstanceId>&, base::Instant now);
@@ -79,14 +79,14 @@
     // When that much is expected to be there, if nobody else spends it.
     base::Instant expected(const base::ClientAccountId&, base::Tokens, base::Instant now) const;
     // The call was charged and has not run anywhere.
-    void giveBack(const base::ClientAccountId&, base::Tokens);
+    void refund(const base::ClientAccountId&, base::Tokens);
     LimitReport report(Incarnation, base::Instant now) const;
 
 private:
     struct Bucket {
         double rate = 0;
         double burst = 0;
-        double stock = 0;
+        double balance = 0;
         base::Instant updated;
         base::Tokens charged;
     };
@@ -95,8 +95,8 @@
         std::optional<base::Instant> heard;
         base::Instant countsUntil;
         bool listed = false;
-        std::set<base::InstanceId> unheard;
-        int64_t heardDigest = 0;
+        std::set<base::InstanceId> silentPeers;
+        int64_t liveSetDigest = 0;
         // When its present start was first heard.
         base::Instant since;
         std::map<base::ClientAccountId, base::Tokens> totals;
@@ -116,13 +116,13 @@
     bool counts(const Peer&, base::Instant now) const;
     // Whom this gateway hears.
     struct Hearing {
-        std::vector<base::InstanceId> unheard;
+        std::vector<base::InstanceId> silentPeers;
         int64_t digest = 0;
     };
     Hearing hearing(base::Instant now) const;
     // Whether this gateway may spend the peer's part.
     bool shares(const Peer&, const Hearing& own) const;
-    void adopt(const std::vector<AccountStock>&);
+    void adopt(const std::vector<AccountBalance>&);
     static base::Instant whenThere(const Bucket&, const Parts&, double needed, base::Instant now);
     // Adds the gateway's own part since the last time.
     static void accrue(Bucket&, const Parts&, base::Instant now);
--- a/packages/direct/src/AccountLimits.cpp
+++ b/packages/direct/src/AccountLimits.cpp
@@ -48,7 +48,7 @@
         if (heardOfLate(peer, now))
             own.digest = (own.digest + digestOf(id)) & digestMask;
         else if (counts(peer, now))
-            own.unheard.push_back(id);
+            own.silentPeers.push_back(id);
     }
     return own;
 }
@@ -56,10 +56,10 @@
 bool AccountLimits::shares(const Peer& peer, const Hearing& own) const
 {
     // A peer that has just started may not even know of a gateway that has been gone for a while.
-    if (peer.heardDigest == own.digest)
+    if (peer.liveSetDigest == own.digest)
         return true;
-    bool hearsAllThatItHears = std::all_of(own.unheard.begin(), own.unheard.end(), [&](const auto& id) { return peer.unheard.contains(id); });
-    return hearsAllThatItHears && !peer.unheard.contains(m_self);
+    bool hearsAllThatItHears = std::all_of(own.silentPeers.begin(), own.silentPeers.end(), [&](const auto& id) { return peer.silentPeers.contains(id); });
+    return hearsAllThatItHears && !peer.silentPeers.contains(m_self);
 }
 
 AccountLimits::Parts AccountLimits::parts(base::Instant now) const
@@ -81,8 +81,8 @@
 void AccountLimits::accrue(Bucket& bucket, const Parts& parts, base::Instant now)
 {
     base::Duration time = std::max<base::Duration>(now - bucket.updated, base::Duration::zero());
-    bucket.stock += bucket.rate / static_cast<double>(parts.all) * base::toSeconds(time);
-    bucket.stock = std::min(bucket.stock, bucket.burst * parts.ofBurst());
+    bucket.balance += bucket.rate / static_cast<double>(parts.all) * base::toSeconds(time);
+    bucket.balance = std::min(bucket.balance, bucket.burst * parts.ofBurst());
     bucket.updated = std::max(bucket.updated, now);
 }
 
@@ -102,7 +102,7 @@
         }
         bucket.rate = static_cast<double>(account.limits.tokensPerSecond.value());
         bucket.burst = static_cast<double>(account.limits.burst.value());
-        bucket.stock = std::min(bucket.stock, bucket.burst);
+        bucket.balance = std::min(bucket.balance, bucket.burst);
         kept.emplace(account.limits.id, bucket);
     }
     m_buckets = std::move(kept);
@@ -141,8 +141,8 @@
     peer.incarnation = report.incarnation;
     peer.heard = now;
     peer.countsUntil = now + m_settings.peerMemory;
-    peer.unheard = { report.unheard.begin(), report.unheard.end() };
-    peer.heardDigest = report.heardDigest;
+    peer.silentPeers = { report.silentPeers.begin(), report.silentPeers.end() };
+    peer.liveSetDigest = report.liveSetDigest;
     // After a longer silence others may have shared its part meanwhile.
     bool shared = heardFor <= m_settings.peerSilence && shares(peer, hearing(now));
     Parts all = parts(now);
@@ -155,21 +155,21 @@
             continue;
         Bucket& bucket = found->second;
         double part = bucket.rate / static_cast<double>(all.all) * base::toSeconds(heardFor);
-        bucket.stock += (shared ? part : std::min(part, std::max(spent, 0.0))) - spent;
+        bucket.balance += (shared ? part : std::min(part, std::max(spent, 0.0))) - spent;
         accrue(bucket, all, now);
     }
     if (now - m_started < m_settings.startTime)
-        adopt(report.stocks);
+        adopt(report.balances);
 }
 
 // Again with each report: until all gateways are heard, a bucket is capped at a part. What was spent here since the start
 // may not be known to the peer.
-void AccountLimits::adopt(const std::vector<AccountStock>& stocks)
+void AccountLimits::adopt(const std::vector<AccountBalance>& balances)
 {
-    for (const AccountStock& known : stocks) {
+    for (const AccountBalance& known : balances) {
         auto bucket = m_buckets.find(known.account);
         if (bucket != m_buckets.end())
-            bucket->second.stock = std::max(bucket->second.stock, std::min(bucket->second.burst, static_cast<double>((known.stock - bucket->second.charged).value())));
+            bucket->second.balance = std::max(bucket->second.balance, std::min(bucket->second.burst, static_cast<double>((known.balance - bucket->second.charged).value())));
         m_hasAdopted |= bucket != m_buckets.end();
     }
 }
@@ -185,8 +185,8 @@
     double amount = static_cast<double>(cost.value());
     // A call above the whole burst is let in by a full bucket, which it then owes.
     double needed = std::min(amount, bucket.burst * all.ofBurst());
-    if (bucket.stock >= needed) {
-        bucket.stock -= amount;
+    if (bucket.balance >= needed) {
+        bucket.balance -= amount;
         bucket.charged += cost;
         return std::nullopt;
     }
@@ -196,7 +196,7 @@
 base::Instant AccountLimits::whenThere(const Bucket& bucket, const Parts& parts, double needed, base::Instant now)
 {
     double rate = std::max(bucket.rate * parts.ofRate(), 1.0);
-    return now + std::chrono::duration_cast<base::Duration>(std::chrono::duration<double>(std::max(needed - bucket.stock, 0.0) / rate));
+    return now + std::chrono::duration_cast<base::Duration>(std::chrono::duration<double>(std::max(needed - bucket.balance, 0.0) / rate));
 }
 
 base::Instant AccountLimits::expected(const base::ClientAccountId& account, base::Tokens cost, base::Instant now) const
@@ -205,26 +205,26 @@
     return found == m_buckets.end() ? now : whenThere(found->second, parts(now), static_cast<double>(cost.value()), now);
 }
 
-void AccountLimits::giveBack(const base::ClientAccountId& account, base::Tokens cost)
+void AccountLimits::refund(const base::ClientAccountId& account, base::Tokens cost)
 {
     auto found = m_buckets.find(account);
     if (found == m_buckets.end())
         return;
-    found->second.stock = std::min(found->second.burst, found->second.stock + static_cast<double>(cost.value()));
+    found->second.balance = std::min(found->second.burst, found->second.balance + static_cast<double>(cost.value()));
     found->second.charged -= cost;
 }
 
 LimitReport AccountLimits::report(Incarnation incarnation, base::Instant now) const
 {
     Hearing own = hearing(now);
-    LimitReport report { incarnation, {}, std::move(own.unheard), own.digest, {} };
+    LimitReport report { incarnation, {}, std::move(own.silentPeers), own.digest, {} };
     bool anyNew = std::any_of(m_peers.begin(), m_peers.end(), [&](const auto& entry) { return heardOfLate(entry.second, now) && now - entry.second.since < m_settings.startTime; });
     // What has just started itself knows nothing of what was spent before.
-    bool tellStocks = anyNew && (m_hasAdopted || now - m_started > m_settings.startTime * 2);
+    bool sendBalances = anyNew && (m_hasAdopted || now - m_started > m_settings.startTime * 2);
     for (const auto& [account, bucket] : m_buckets) {
         report.charges.push_back({ account, bucket.charged });
-        if (tellStocks)
-            report.stocks.push_back({ account, base::Tokens(static_cast<int64_t>(bucket.stock)) });
+        if (sendBalances)
+            report.balances.push_back({ account, base::Tokens(static_cast<int64_t>(bucket.balance)) });
     }
     return report;
 }
--- a/packages/direct/src/FleetReports.cpp
+++ b/packages/direct/src/FleetReports.cpp
@@ -41,12 +41,12 @@
     for (const auto& strike : report.strikes)
         strikes.push_back({ strike.fingerprint.value(), strike.crash.value(), inMilliseconds(strike.remaining) });
     Json unheard = Json::array();
-    for (const auto& peer : report.limits.unheard)
+    for (const auto& peer : report.limits.silentPeers)
         unheard.push_back(peer.value());
     Json stocks = Json::array();
-    for (const auto& known : report.limits.stocks)
-        stocks.push_back({ known.account.value(), known.stock.value() });
-    return Json::array({ head(ReportKind::Load, report.sender), report.configuration.value(), directories, report.leaving, use, charges, strikes, unheard, report.limits.heardDigest, stocks });
+    for (const auto& known : report.limits.balances)
+        stocks.push_back({ known.account.value(), known.balance.value() });
+    return Json::array({ head(ReportKind::Load, report.sender), report.configuration.value(), directories, report.leaving, use, charges, strikes, unheard, report.limits.liveSetDigest, stocks });
 }
 
 Json encode(const DemandReport& report)
@@ -112,10 +112,10 @@
             span(entry.at(2)) });
     }
     for (const Json& entry : value.at(7))
-        report.limits.unheard.push_back(text<base::InstanceId>(entry));
-    report.limits.heardDigest = whole(value.at(8));
+        report.limits.silentPeers.push_back(text<base::InstanceId>(entry));
+    report.limits.liveSetDigest = whole(value.at(8));
     for (const Json& entry : value.at(9))
-        report.limits.stocks.push_back({ text<base::ClientAccountId>(entry.at(0)), number<base::Tokens>(entry.at(1)) });
+        report.limits.balances.push_back({ text<base::ClientAccountId>(entry.at(0)), number<base::Tokens>(entry.at(1)) });
     return report;
 }
 
--- a/packages/direct/src/ProxiedCall.cpp
+++ b/packages/direct/src/ProxiedCall.cpp
@@ -566,7 +566,7 @@
     auto self = shared_from_this();
     // What ran nowhere is not charged; what may have run keeps its charge, as its tokens may have been used.
     if (ran == Ran::No && m_charged.value())
-        m_desk.limits().giveBack(m_account, m_charged);
+        m_desk.limits().refund(m_account, m_charged);
     bool promise = status == statusUnavailable || status == statusTooManyRequests;
     if (promise && ran == Ran::Maybe) {
         status = statusBadGateway;
--- a/packages/direct/test/AccountLimitsTest.cpp
+++ b/packages/direct/test/AccountLimitsTest.cpp
@@ -164,7 +164,7 @@
     for (int count = 0; count < 20; ++count)
         fleet.step();
     CHECK_TRUE(fleet.call(0, 1000));
-    fleet.limits(0).giveBack(farm, Tokens(1000));
+    fleet.limits(0).refund(farm, Tokens(1000));
     CHECK_TRUE(fleet.call(0, 1000));
 }
 
--- a/packages/direct/test/DecisionTest.cpp
+++ b/packages/direct/test/DecisionTest.cpp
@@ -310,10 +310,10 @@
     LONGS_EQUAL(1, loadBack.use.at(0).load.awaiting);
     LONGS_EQUAL(5, loadBack.limits.incarnation.value());
     LONGS_EQUAL(7, loadBack.limits.charges.at(0).total.value());
-    LONGS_EQUAL(77, loadBack.limits.heardDigest);
-    LONGS_EQUAL(-8, loadBack.limits.stocks.at(0).stock.value());
+    LONGS_EQUAL(77, loadBack.limits.liveSetDigest);
+    LONGS_EQUAL(-8, loadBack.limits.balances.at(0).balance.value());
     STRCMP_EQUAL("x", loadBack.strikes.at(0).crash.value().c_str());
-    STRCMP_EQUAL("h", loadBack.limits.unheard.at(0).value().c_str());
+    STRCMP_EQUAL("h", loadBack.limits.silentPeers.at(0).value().c_str());
 
     DemandReport demand { sender, { { { base::ModelId("m"), AdapterId("a1") }, 1, 2, 300, 1500 } } };
     auto demandBack = std::get<DemandReport>(*decodeReport(encodeReport(demand)));
