--- a/packages/direct/include/toucanstep/direct/UpstreamSelection.h
+++ b/packages/direct/include/toucanstep/direct/UpstreamSelection.h
@@ -14,7 +14,7 @@
     base::ServiceId service;
     ModelTarget target;
     // Upstreams that this call has already been sent to.
-    const std::set<base::UpstreamId>* tried = nullptr;
+    const std::set<base::UpstreamId>* triedUpstreams = nullptr;
     // The gateway's own failure domain.
     base::FailureDomain domain;
     // Calls with the same text here share a prompt's beginning; empty without one.
--- a/packages/direct/src/ProxiedCall.cpp
+++ b/packages/direct/src/ProxiedCall.cpp
@@ -202,7 +202,7 @@
     UpstreamQuery query;
     query.service = m_service;
     query.target = m_call.target;
-    query.tried = &m_tried;
+    query.triedUpstreams = &m_tried;
     query.domain = m_desk.settings().domain;
     query.spreadKey = m_call.id.value();
     if (!m_call.prompt.empty())
--- a/packages/direct/src/UpstreamSelection.cpp
+++ b/packages/direct/src/UpstreamSelection.cpp
@@ -29,7 +29,7 @@
 {
     const UpstreamDescription& described = entry.description;
     return described.service == query.service && !described.draining && entry.avoidUntil <= now
-        && !(query.tried && query.tried->contains(described.id));
+        && !(query.triedUpstreams && query.triedUpstreams->contains(described.id));
 }
 
 // Of the upstreams that hold a target, the one with the lowest value is the home of a prompt's beginning: the same at
--- a/packages/direct/test/DecisionTest.cpp
+++ b/packages/direct/test/DecisionTest.cpp
@@ -128,7 +128,7 @@
     table.put(engine("one", "m"), now);
     std::set<base::UpstreamId> tried { base::UpstreamId("one") };
     UpstreamQuery query = asks("m");
-    query.tried = &tried;
+    query.triedUpstreams = &tried;
     CHECK_TRUE(blockReason(query) == BlockReason::NoUpstream);
 }
 
