--- a/packages/direct/include/toucanstep/direct/AccountLimits.h
+++ b/packages/direct/include/toucanstep/direct/AccountLimits.h
@@ -1,16 +1,17 @@
-// Keeps each client account's rate and burst over all gateways together, with no call to the store on a request's way.
+// Enforces each client account's rate and burst across all gateways, without a call to the store on the request path.
 //
-// Every gateway keeps a bucket for each account and charges it with its own calls at once, and with those of its peers as
-// their reports come: a report carries what a peer has charged since its start, so a lost one costs nothing. Each gateway
-// has an equal part of the rate. A bucket fills with its own gateway's part as time passes, and with a peer's part when the
-// peer is heard, for the time since it was heard last and together with what it charged in that time. So the parts of a
-// divided fleet add up to one whole from the moment of the division, also before anyone has noticed it. A gateway that
-// hears only some of the fleet caps its buckets at its part. A bucket begins empty, so a fleet that is killed and starts
-// again gives nobody a second burst; a gateway that starts beside others takes their view of the buckets over instead.
+// Every gateway keeps a token bucket for each account. It charges its own calls at once, and its peers' calls as their
+// reports arrive. A report carries the total that a peer has charged since its start, so a lost report does no harm. Each
+// gateway has an equal share of the rate. A bucket is refilled with its own gateway's share as time passes, and with a
+// peer's share when the peer is heard: for the time since its last report, together with what it charged in that time. So
+// the shares of a partitioned fleet add up to the whole rate from the start of the partition, even before it is detected. A
+// gateway that hears only part of the fleet caps its buckets at that part of the burst. A bucket starts empty, so a fleet
+// that is killed and restarted grants nobody a second burst; a gateway that starts beside others adopts their balances.
 //
-// Two gateways that do not hear each other may both hear a third, and must not both spend its part. So a gateway shares a
-// peer's part only if it hears everyone whom that peer hears, and that peer hears it: all who share a part then hear each
-// other and charge what the others have spent. Of any other peer it credits what that peer has spent itself, up to its part.
+// Two gateways that do not hear each other may both hear a third, and must not both spend its share. So a gateway spends a
+// peer's share only if it hears every gateway that the peer hears, and the peer hears it: all gateways that spend a share
+// then hear each other and deduct what the others have spent. From any other peer it credits only what that peer has spent
+// itself, up to its share.
 
 #pragma once
 
@@ -25,40 +26,40 @@
 
 namespace toucanstep::direct {
 
-// Tells one start of a gateway from the next.
+// Distinguishes the successive starts of a gateway.
 using Incarnation = base::StrongNumber<struct IncarnationTag>;
 
 struct AccountCharge {
     base::ClientAccountId account;
-    // All that was charged since the gateway's start, less what was given back.
+    // Charged since the gateway's start, less refunds.
     base::Tokens total;
 };
 
 struct AccountLimitsSettings {
-    // A peer that was not heard for this long may be cut off and spend on its own: three reports in a row are lost.
+    // A peer that was not heard for this long, which is three lost reports in a row, may be partitioned and spend on its own.
     base::Duration peerSilence = std::chrono::milliseconds(350);
-    // A peer that left the list of gateways counts for this long, as a window of the limits may still hold its calls.
-    base::Duration peerMemory = std::chrono::seconds(10);
-    // A gateway that was first heard less than this long ago is told what the buckets hold, and takes it over if it has
-    // started less than this long ago itself: a few reports' time.
-    base::Duration startTime = std::chrono::milliseconds(600);
+    // A peer that left the gateway list counts for this long, since its calls may still be within a window of the limits.
+    base::Duration departedPeerRetention = std::chrono::seconds(10);
+    // A gateway that was first heard less than this long ago is sent the balances, and adopts them if it started less than
+    // this long ago: the time of a few reports.
+    base::Duration startupWindow = std::chrono::milliseconds(600);
 };
 
 struct AccountBalance {
     base::ClientAccountId account;
-    // Below zero where more was spent than there was.
+    // Negative if more was spent than was available.
     base::Tokens balance;
 };
 
-// What a gateway tells its peers of the limits.
+// A gateway's report to its peers about the limits.
 struct LimitReport {
     Incarnation incarnation;
     std::vector<AccountCharge> charges;
-    // Gateways that count and that the sender has not heard of late.
+    // Members that the sender has not heard recently.
     std::vector<base::InstanceId> silentPeers;
-    // The same for all senders that hear the same gateways, themselves included.
+    // Equal for all senders that hear the same gateways, including themselves.
     int64_t liveSetDigest = 0;
-    // What the buckets hold, while a gateway that has just started is heard.
+    // Sent while a newly started gateway is heard.
     std::vector<AccountBalance> balances;
 };
 
@@ -66,19 +67,19 @@
 public:
     explicit AccountLimits(AccountLimitsSettings);
 
-    // Limits that were lowered apply to the balance at once.
+    // Lowered limits apply to the balances at once.
     void setAccounts(const DesiredState&, base::Instant now);
-    // The other gateways, as the list has them.
+    // The other gateways of the gateway list.
     void setPeers(const std::set<base::InstanceId>&, base::Instant now);
     // `now`: the time of this gateway's start.
     void setSelf(base::InstanceId, base::Instant now);
     void onReport(const base::InstanceId& peer, const LimitReport&, base::Instant now);
 
-    // Charges the account and returns nothing, or charges nothing and returns when the tokens are expected to be there.
+    // Charges the account and returns nothing, or charges nothing and returns when the tokens are expected.
     std::optional<base::Instant> charge(const base::ClientAccountId&, base::Tokens, base::Instant now);
-    // When that much is expected to be there, if nobody else spends it.
+    // When that many tokens are expected, if nobody else spends them.
     base::Instant expected(const base::ClientAccountId&, base::Tokens, base::Instant now) const;
-    // The call was charged and has not run anywhere.
+    // For a call that was charged and has not run anywhere.
     void refund(const base::ClientAccountId&, base::Tokens);
     LimitReport report(Incarnation, base::Instant now) const;
 
@@ -92,46 +93,45 @@
     };
     struct Peer {
         Incarnation incarnation;
-        std::optional<base::Instant> heard;
-        base::Instant countsUntil;
+        std::optional<base::Instant> lastHeard;
+        base::Instant memberUntil;
         bool listed = false;
         std::set<base::InstanceId> silentPeers;
         int64_t liveSetDigest = 0;
-        // When its present start was first heard.
-        base::Instant since;
-        std::map<base::ClientAccountId, base::Tokens> totals;
+        // When its current incarnation was first heard.
+        base::Instant incarnationSeenAt;
+        std::map<base::ClientAccountId, base::Tokens> chargedTotals;
     };
 
-    // The gateways among which the rate is divided; this one is among the heard and the shared.
-    struct Parts {
-        int64_t all = 1;
-        int64_t heard = 1;
-        // This gateway may spend their parts.
-        int64_t shared = 1;
-        double ofBurst() const { return static_cast<double>(heard) / static_cast<double>(all); }
-        double ofRate() const { return static_cast<double>(shared) / static_cast<double>(all); }
+    // The numbers of gateways among which the rate is divided, of those that are heard, and of those whose shares this
+    // gateway may spend. Each includes this gateway.
+    struct RateShares {
+        int64_t total = 1;
+        int64_t live = 1;
+        int64_t spendable = 1;
+        double burstFraction() const { return static_cast<double>(live) / static_cast<double>(total); }
+        double rateFraction() const { return static_cast<double>(spendable) / static_cast<double>(total); }
     };
-    Parts parts(base::Instant now) const;
-    bool heardOfLate(const Peer&, base::Instant now) const;
-    bool counts(const Peer&, base::Instant now) const;
-    // Whom this gateway hears.
-    struct Hearing {
+    RateShares rateShares(base::Instant now) const;
+    bool recentlyHeard(const Peer&, base::Instant now) const;
+    bool isMember(const Peer&, base::Instant now) const;
+    // The members that this gateway does not hear, and a digest of those that it hears, including itself.
+    struct LiveSet {
         std::vector<base::InstanceId> silentPeers;
         int64_t digest = 0;
     };
-    Hearing hearing(base::Instant now) const;
-    // Whether this gateway may spend the peer's part.
-    bool shares(const Peer&, const Hearing& own) const;
-    void adopt(const std::vector<AccountBalance>&);
-    static base::Instant whenThere(const Bucket&, const Parts&, double needed, base::Instant now);
-    // Adds the gateway's own part since the last time.
-    static void accrue(Bucket&, const Parts&, base::Instant now);
+    LiveSet liveSet(base::Instant now) const;
+    bool maySpendShareOf(const Peer&, const LiveSet& own) const;
+    void adoptBalances(const std::vector<AccountBalance>&);
+    static base::Instant availableAt(const Bucket&, const RateShares&, double needed, base::Instant now);
+    // Adds the gateway's own share for the time since the last refill, and applies the cap.
+    static void refill(Bucket&, const RateShares&, base::Instant now);
 
     AccountLimitsSettings m_settings;
     base::InstanceId m_self;
     base::Instant m_started;
-    // It knows what the buckets held before its start.
-    bool m_hasAdopted = false;
+    // Whether the balances include what was spent before this gateway's start.
+    bool m_hasAdoptedBalances = false;
     std::map<base::ClientAccountId, Bucket> m_buckets;
     std::map<base::InstanceId, Peer> m_peers;
 };
--- a/packages/direct/include/toucanstep/direct/Call.h
+++ b/packages/direct/include/toucanstep/direct/Call.h
@@ -1,4 +1,4 @@
-// One caller's request, and one upstream's answer, in typed form. The formats live behind WireFormat (see WireFormat.h).
+// Typed metadata of a caller's request and of an upstream's response. WireFormat.h converts it from and to the wire.
 
 #pragma once
 
@@ -11,10 +11,10 @@
 
 namespace toucanstep::direct {
 
-// An adapter of a model; empty for the model itself.
+// An adapter of a model; empty for the base model.
 using AdapterId = base::StrongId<struct AdapterIdTag>;
 
-// What has to be loaded for a call. Empty for a plain service.
+// The model and adapter that a call needs loaded. Empty for a plain service.
 struct ModelTarget {
     base::ModelId model;
     AdapterId adapter;
@@ -23,48 +23,48 @@
     auto operator<=>(const ModelTarget&) const = default;
 };
 
-// A part of a prompt that other calls may share; `hash` names its content.
+// A segment of a prompt that other calls may share; `hash` identifies its content.
 struct PromptSegment {
     std::string hash;
     base::Tokens tokens;
 };
 
-// What a caller says about its request beside method, target and body.
+// What a caller's headers state about its request.
 struct CallMetadata {
     base::RequestId id;
-    // As shown by the caller; it goes no further than the gateway.
+    // The caller's credential; it is not forwarded to upstreams.
     std::string key;
     std::optional<base::Duration> timeLimit;
     ModelTarget target;
     base::Tokens promptTokens;
     base::Tokens maximumOutputTokens;
     bool declaresTokens = false;
-    // In order; the last one belongs to the call itself or to its session.
+    // In prompt order; the last segment is specific to the call or its session.
     std::vector<PromptSegment> prompt;
-    // The event behind which a stream goes on; empty for a new one.
+    // The id of the event after which a stream resumes; empty for a new stream.
     std::string resumeAfter;
 
     base::Tokens cost() const { return promptTokens + maximumOutputTokens; }
 };
 
-// What the gateway adds when it sends a call to an upstream.
+// Metadata that the gateway adds when it sends a call to an upstream.
 struct ForwardedCall {
     base::UpstreamId upstream;
     base::ClientAccountId account;
     base::Duration timeLeft {};
-    // 0 is the most urgent, lowestPriority the least.
+    // From 0, the most urgent, to lowestPriority.
     int64_t priority = 0;
     std::string resumeAfter;
 };
 
 constexpr int64_t lowestPriority = 9;
 
-// What an upstream's head tells beside its status.
+// Metadata from the head of an upstream's response.
 struct ResponseMetadata {
     base::RequestId id;
-    // Proved by the upstream: the call has not run there.
+    // The upstream proves that the call has not run there.
     bool notRun = false;
-    // The upstream vouches for the answer's bytes.
+    // The response carries the upstream's signature.
     bool hasSignature = false;
     bool streaming = false;
 };
--- a/packages/direct/include/toucanstep/direct/CrashDetector.h
+++ b/packages/direct/include/toucanstep/direct/CrashDetector.h
@@ -1,9 +1,9 @@
-// Tells the crash of an upstream from the loss of a connection to it, before a request is blamed for a crash.
+// Distinguishes an upstream's crash from a lost connection, before a request is blamed for a crash.
 //
-// Both show as answers that break off. A request that is blamed twice is refused everywhere for a while, and all requests of
-// an account with the same path and body count as one: without this, two connections that something in between had reset
-// would turn away every lookup of that account. A process that has crashed sends nothing for some seconds, so an upstream
-// that is heard again soon after the break has not crashed.
+// Both appear as answers that break off. A request that is blamed twice is refused everywhere for a while, and all requests
+// of an account with the same path and body count as one: without this check, two connections that were reset by a network
+// device would block all equal lookups of an account. A crashed process sends nothing for some seconds, so an upstream that
+// is heard again soon after the connection broke has not crashed.
 
 #pragma once
 
@@ -25,13 +25,13 @@
 
 class CrashDetector {
 public:
-    void onBroken(SuspectedCrash suspicion) { m_suspicions.push_back(std::move(suspicion)); }
+    void onConnectionLost(SuspectedCrash suspected) { m_suspected.push_back(std::move(suspected)); }
     void onHeard(const base::UpstreamId&, base::Instant now);
-    // Those for whose upstreams nothing spoke in time; they are forgotten here.
+    // Removes and returns the suspected crashes whose upstreams were not heard in time.
     std::vector<SuspectedCrash> takeConfirmed(base::Instant now);
 
 private:
-    std::vector<SuspectedCrash> m_suspicions;
+    std::vector<SuspectedCrash> m_suspected;
 };
 
 } // namespace toucanstep::direct
--- a/packages/direct/include/toucanstep/direct/QueueDiscipline.h
+++ b/packages/direct/include/toucanstep/direct/QueueDiscipline.h
@@ -1,10 +1,10 @@
-// Decides in which order calls that wait for full upstreams go on, and which of them are refused.
+// Decides in which order calls that wait for full upstreams are dispatched, and which of them are refused.
 //
-// The load that it answers: more calls come, for some seconds, than the engines with their model can run. First in, first
-// out then makes every call wait until it is late, and none is served in time although the engines run all the while. So
-// calls that can still be in time go first. Late ones stay, as a short burst leaves room behind it; but where late calls have
-// been standing in a line without a break, there is none, and they are refused as soon as they are late, with a time to
-// come back, in place of waiting until their callers leave.
+// Under overload, calls arrive for some seconds faster than the engines with their model can run them. In FIFO order every
+// call would then wait until it is late, and none would be served in time although the engines are busy throughout. So calls
+// that can still be in time go first. Late calls keep waiting, since there is spare capacity after a short burst. A queue
+// that has held late calls for a while without interruption shows that there is none: its calls are refused as soon as they
+// are late, with a Retry-After, instead of waiting until their callers disconnect.
 
 #pragma once
 
@@ -18,44 +18,44 @@
 
 namespace toucanstep::direct {
 
-// Where a call stands among those of its rank.
+// Orders the calls of equal priority; earlier values go first.
 enum class QueueClass {
-    // A stream that has begun and moves to another upstream.
+    // A stream that has started and moves to another upstream.
     Resuming,
     InTime,
     Late,
 };
 
-// Without a latency target (zero) a call is never late.
-QueueClass queueClassOf(bool begun, base::Instant arrived, base::Duration latencyTarget, base::Instant now);
+// A call without a latency target (zero) is never late.
+QueueClass queueClassOf(bool answerStarted, base::Instant arrived, base::Duration latencyTarget, base::Instant now);
 
 // Lower places go first.
 struct QueuePosition {
     // 0 is the most urgent.
-    int64_t rank = 0;
-    QueueClass turn = QueueClass::InTime;
-    // Grows with each call.
+    int64_t priority = 0;
+    QueueClass queueClass = QueueClass::InTime;
+    // The call's wait number, which grows with each call.
     uint64_t number = 0;
 
     auto operator<=>(const QueuePosition&) const = default;
 };
 
-// Calls that wait for the same thing.
+// Calls with an equal key wait for the same service and target.
 using QueueKey = std::tuple<base::ServiceId, ModelTarget>;
 
-// Knows the lines in which late calls have been standing without a break.
+// Detects the queues that have held late calls without interruption.
 class StandingQueueDetector {
 public:
-    // All waiting calls are looked at once, from here to endPass().
+    // Each waiting call is processed once between here and endPass().
     void beginPass(base::Instant now);
-    // A late call found its upstreams full. Returns whether it is to be refused.
+    // Records a late call whose upstreams are full. Returns whether it is to be refused.
     bool shouldRefuseLate(const QueueKey&);
     void endPass();
 
 private:
     base::Instant m_now;
-    std::map<QueueKey, base::Instant> m_since;
-    std::map<QueueKey, base::Instant> m_seen;
+    std::map<QueueKey, base::Instant> m_lateSince;
+    std::map<QueueKey, base::Instant> m_lateThisPass;
 };
 
 } // namespace toucanstep::direct
--- a/packages/direct/include/toucanstep/direct/TokenQueue.h
+++ b/packages/direct/include/toucanstep/direct/TokenQueue.h
@@ -1,10 +1,10 @@
-// Calls of an account that has no tokens at the moment, in the order in which they came.
+// Queues calls of accounts that are short of tokens, in order of arrival within each account.
 //
-// The load that it answers: an account within its rate sends a few calls at once, or all gateways have just started with
-// empty buckets. The tokens are there a moment later. A refused caller comes back on a new connection, among those who came
-// after it, and mostly finds the tokens gone again. So a call waits where its tokens will be there early enough for its
-// latency target, and nobody of its account overtakes it. Any other call is refused at once, with the time at which the
-// tokens for those before it and for itself will be there.
+// Short bursts should not cause refusals: an account within its rate sends a few calls at once, or all gateways have just
+// started with empty buckets. The tokens become available a moment later, but a refused caller comes back on a new
+// connection, competes with later arrivals and mostly finds the tokens spent again. So a call waits if its tokens are
+// expected early enough for its latency target, and no later call of the account is charged before it. Any other call is
+// refused at once, with the time at which the tokens for the calls ahead of it and for itself are expected.
 
 #pragma once
 
@@ -20,7 +20,7 @@
 
 enum class TokenResult {
     Charged,
-    // Its turn will come; see TokenQueue::due().
+    // Reported later by TokenQueue::takeDue().
     Queued,
     Refused,
 };
@@ -28,37 +28,37 @@
 class TokenQueue {
 public:
     struct Decision {
-        TokenResult answer = TokenResult::Charged;
-        // When the tokens are expected.
+        TokenResult result = TokenResult::Charged;
+        // When the tokens are expected; not set for a charged call.
         base::Instant expected;
-        // Of a held call.
+        // Set for a queued call.
         QueuedCallNumber number;
     };
     struct Due {
         QueuedCallNumber number;
-        // Otherwise its time is over, and it is to be refused.
+        // Otherwise the call has waited too long and is to be refused.
         bool charged = false;
         base::Instant expected;
     };
 
-    // `holdUntil`: a call that would be charged later than this is refused.
-    Decision take(AccountLimits&, const base::ClientAccountId&, base::Tokens, base::Instant holdUntil, base::Instant now);
-    // Calls that need not be held any more; those that are charged have been charged.
-    std::vector<Due> due(AccountLimits&, base::Instant now);
-    // The call ended otherwise.
+    // Refuses a call that is expected to be charged later than `maxWaitUntil`.
+    Decision chargeOrQueue(AccountLimits&, const base::ClientAccountId&, base::Tokens, base::Instant maxWaitUntil, base::Instant now);
+    // Removes and returns the calls whose wait is over, after charging those that can be charged.
+    std::vector<Due> takeDue(AccountLimits&, base::Instant now);
+    // For a call that ended while it was queued.
     void remove(QueuedCallNumber);
-    // When due() is worth a look, if nothing else happens before.
-    std::optional<base::Instant> next(const AccountLimits&, base::Instant now) const;
-    bool empty() const { return m_lines.empty(); }
+    // When to call takeDue() next, unless something else happens before.
+    std::optional<base::Instant> nextDue(const AccountLimits&, base::Instant now) const;
+    bool empty() const { return m_queues.empty(); }
 
 private:
-    struct Held {
+    struct QueuedCall {
         QueuedCallNumber number;
         base::Tokens cost;
-        base::Instant until;
+        base::Instant waitUntil;
     };
-    std::map<base::ClientAccountId, std::deque<Held>> m_lines;
-    QueuedCallNumber m_last;
+    std::map<base::ClientAccountId, std::deque<QueuedCall>> m_queues;
+    QueuedCallNumber m_lastNumber;
 };
 
 } // namespace toucanstep::direct
--- a/packages/direct/include/toucanstep/direct/UpstreamSelection.h
+++ b/packages/direct/include/toucanstep/direct/UpstreamSelection.h
@@ -1,4 +1,4 @@
-// Chooses the upstream for a call, or says what stands in its way.
+// Selects the upstream for a call, or reports why none can take it.
 
 #pragma once
 
@@ -13,13 +13,13 @@
 struct UpstreamQuery {
     base::ServiceId service;
     ModelTarget target;
-    // Upstreams that this call has already been sent to.
+    // Upstreams that the call has already been sent to; they are not selected again.
     const std::set<base::UpstreamId>* triedUpstreams = nullptr;
     // The gateway's own failure domain.
     base::FailureDomain domain;
-    // Calls with the same text here share a prompt's beginning; empty without one.
+    // Calls with an equal value share the beginning of their prompts; empty without a prompt.
     std::string promptPrefix;
-    // Differs from call to call: among equally busy upstreams each call has its own first choice.
+    // Unique to the call: spreads calls among equally busy upstreams.
     std::string spreadKey;
 };
 
@@ -28,7 +28,7 @@
     // No upstream of the service can take calls.
     NoUpstream,
     NotLoaded,
-    // Each upstream that could run it is at its limit.
+    // All slots are in use at each upstream that could run it.
     Full,
 };
 
--- a/packages/direct/src/AccountLimits.cpp
+++ b/packages/direct/src/AccountLimits.cpp
@@ -6,15 +6,15 @@
 
 namespace {
 
-// Fits into what every reader of a report takes for a whole number.
+// Keeps digests within the integers that every reader of a report represents exactly.
 constexpr int64_t digestMask = (int64_t(1) << 53) - 1;
 
 // FNV-1a.
 int64_t digestOf(const base::InstanceId& id)
 {
     uint64_t hash = 14695981039346656037U;
-    for (unsigned char letter : id.value())
-        hash = (hash ^ letter) * 1099511628211U;
+    for (unsigned char byte : id.value())
+        hash = (hash ^ byte) * 1099511628211U;
     return static_cast<int64_t>(hash) & digestMask;
 }
 
@@ -25,14 +25,14 @@
 {
 }
 
-bool AccountLimits::heardOfLate(const Peer& peer, base::Instant now) const
+bool AccountLimits::recentlyHeard(const Peer& peer, base::Instant now) const
 {
-    return peer.heard && now - *peer.heard <= m_settings.peerSilence;
+    return peer.lastHeard && now - *peer.lastHeard <= m_settings.peerSilence;
 }
 
-bool AccountLimits::counts(const Peer& peer, base::Instant now) const
+bool AccountLimits::isMember(const Peer& peer, base::Instant now) const
 {
-    return heardOfLate(peer, now) || peer.listed || now < peer.countsUntil;
+    return recentlyHeard(peer, now) || peer.listed || now < peer.memberUntil;
 }
 
 void AccountLimits::setSelf(base::InstanceId self, base::Instant now)
@@ -41,55 +41,56 @@
     m_started = now;
 }
 
-AccountLimits::Hearing AccountLimits::hearing(base::Instant now) const
+AccountLimits::LiveSet AccountLimits::liveSet(base::Instant now) const
 {
-    Hearing own { {}, digestOf(m_self) };
+    LiveSet own { {}, digestOf(m_self) };
     for (const auto& [id, peer] : m_peers) {
-        if (heardOfLate(peer, now))
+        if (recentlyHeard(peer, now))
             own.digest = (own.digest + digestOf(id)) & digestMask;
-        else if (counts(peer, now))
+        else if (isMember(peer, now))
             own.silentPeers.push_back(id);
     }
     return own;
 }
 
-bool AccountLimits::shares(const Peer& peer, const Hearing& own) const
+bool AccountLimits::maySpendShareOf(const Peer& peer, const LiveSet& own) const
 {
-    // A peer that has just started may not even know of a gateway that has been gone for a while.
+    // Both hear the same gateways. A newly started peer may not know a gateway that has been gone for a while, and then does
+    // not list it as silent.
     if (peer.liveSetDigest == own.digest)
         return true;
-    bool hearsAllThatItHears = std::all_of(own.silentPeers.begin(), own.silentPeers.end(), [&](const auto& id) { return peer.silentPeers.contains(id); });
-    return hearsAllThatItHears && !peer.silentPeers.contains(m_self);
+    bool hearsAllPeersOf = std::all_of(own.silentPeers.begin(), own.silentPeers.end(), [&](const auto& id) { return peer.silentPeers.contains(id); });
+    return hearsAllPeersOf && !peer.silentPeers.contains(m_self);
 }
 
-AccountLimits::Parts AccountLimits::parts(base::Instant now) const
+AccountLimits::RateShares AccountLimits::rateShares(base::Instant now) const
 {
-    Parts parts;
-    Hearing own = hearing(now);
+    RateShares shares;
+    LiveSet own = liveSet(now);
     for (const auto& [id, peer] : m_peers) {
-        if (!counts(peer, now))
+        if (!isMember(peer, now))
             continue;
-        ++parts.all;
-        if (!heardOfLate(peer, now))
+        ++shares.total;
+        if (!recentlyHeard(peer, now))
             continue;
-        ++parts.heard;
-        parts.shared += shares(peer, own) ? 1 : 0;
+        ++shares.live;
+        shares.spendable += maySpendShareOf(peer, own) ? 1 : 0;
     }
-    return parts;
+    return shares;
 }
 
-void AccountLimits::accrue(Bucket& bucket, const Parts& parts, base::Instant now)
+void AccountLimits::refill(Bucket& bucket, const RateShares& shares, base::Instant now)
 {
-    base::Duration time = std::max<base::Duration>(now - bucket.updated, base::Duration::zero());
-    bucket.balance += bucket.rate / static_cast<double>(parts.all) * base::toSeconds(time);
-    bucket.balance = std::min(bucket.balance, bucket.burst * parts.ofBurst());
+    base::Duration elapsed = std::max<base::Duration>(now - bucket.updated, base::Duration::zero());
+    bucket.balance += bucket.rate / static_cast<double>(shares.total) * base::toSeconds(elapsed);
+    bucket.balance = std::min(bucket.balance, bucket.burst * shares.burstFraction());
     bucket.updated = std::max(bucket.updated, now);
 }
 
 void AccountLimits::setAccounts(const DesiredState& state, base::Instant now)
 {
     std::map<base::ClientAccountId, Bucket> kept;
-    Parts all = parts(now);
+    RateShares shares = rateShares(now);
     for (const Account& account : state.accounts) {
         if (!account.limited())
             continue;
@@ -97,7 +98,7 @@
         bucket.updated = now;
         auto known = m_buckets.find(account.limits.id);
         if (known != m_buckets.end()) {
-            accrue(known->second, all, now);
+            refill(known->second, shares, now);
             bucket = known->second;
         }
         bucket.rate = static_cast<double>(account.limits.tokensPerSecond.value());
@@ -112,14 +113,14 @@
 {
     for (auto& [id, peer] : m_peers) {
         if (peer.listed && !listed.contains(id))
-            peer.countsUntil = now + m_settings.peerMemory;
+            peer.memberUntil = now + m_settings.departedPeerRetention;
         peer.listed = listed.contains(id);
     }
     for (const auto& id : listed)
         m_peers[id].listed = true;
     std::erase_if(m_peers, [&](const auto& entry) {
         const Peer& peer = entry.second;
-        return !peer.listed && now >= peer.countsUntil && (!peer.heard || now - *peer.heard > m_settings.peerMemory);
+        return !peer.listed && now >= peer.memberUntil && (!peer.lastHeard || now - *peer.lastHeard > m_settings.departedPeerRetention);
     });
 }
 
@@ -128,49 +129,49 @@
     Peer& peer = m_peers[id];
     if (peer.incarnation > report.incarnation)
         return;
-    // What a peer had spent when it was first heard was before this gateway's time: its own bucket was empty then. A peer
-    // that was heard before and has started again counts from its start, or what it spent before its first report is lost.
-    bool firstHeard = !peer.heard;
+    // What a peer had spent when it was first heard predates this gateway, whose bucket was empty then, and is not deducted.
+    // A restarted peer's charges count from its restart, or what it spent before its first report would be missed.
+    bool firstHeard = !peer.lastHeard;
     bool sameStart = peer.incarnation == report.incarnation;
-    // What a process spent between its last report and its end is not known, so its part of that time is lost.
-    base::Duration heardFor = !firstHeard && sameStart ? now - *peer.heard : base::Duration::zero();
+    // What a process spent between its last report and its end is unknown, so its share for that time is not credited.
+    base::Duration heardFor = !firstHeard && sameStart ? now - *peer.lastHeard : base::Duration::zero();
     if (!sameStart)
-        peer.totals.clear();
+        peer.chargedTotals.clear();
     if (firstHeard || !sameStart)
-        peer.since = now;
+        peer.incarnationSeenAt = now;
     peer.incarnation = report.incarnation;
-    peer.heard = now;
-    peer.countsUntil = now + m_settings.peerMemory;
+    peer.lastHeard = now;
+    peer.memberUntil = now + m_settings.departedPeerRetention;
     peer.silentPeers = { report.silentPeers.begin(), report.silentPeers.end() };
     peer.liveSetDigest = report.liveSetDigest;
-    // After a longer silence others may have shared its part meanwhile.
-    bool shared = heardFor <= m_settings.peerSilence && shares(peer, hearing(now));
-    Parts all = parts(now);
+    // During a longer silence other gateways may have spent its share.
+    bool maySpend = heardFor <= m_settings.peerSilence && maySpendShareOf(peer, liveSet(now));
+    RateShares shares = rateShares(now);
     for (const AccountCharge& charge : report.charges) {
-        auto total = peer.totals.try_emplace(charge.account, firstHeard ? charge.total : base::Tokens()).first;
+        auto total = peer.chargedTotals.try_emplace(charge.account, firstHeard ? charge.total : base::Tokens()).first;
         auto spent = static_cast<double>((charge.total - total->second).value());
         total->second = charge.total;
         auto found = m_buckets.find(charge.account);
         if (found == m_buckets.end())
             continue;
         Bucket& bucket = found->second;
-        double part = bucket.rate / static_cast<double>(all.all) * base::toSeconds(heardFor);
-        bucket.balance += (shared ? part : std::min(part, std::max(spent, 0.0))) - spent;
-        accrue(bucket, all, now);
+        double share = bucket.rate / static_cast<double>(shares.total) * base::toSeconds(heardFor);
+        bucket.balance += (maySpend ? share : std::min(share, std::max(spent, 0.0))) - spent;
+        refill(bucket, shares, now);
     }
-    if (now - m_started < m_settings.startTime)
-        adopt(report.balances);
+    if (now - m_started < m_settings.startupWindow)
+        adoptBalances(report.balances);
 }
 
-// Again with each report: until all gateways are heard, a bucket is capped at a part. What was spent here since the start
-// may not be known to the peer.
-void AccountLimits::adopt(const std::vector<AccountBalance>& balances)
+// Repeated with each report, since a bucket is capped at a part of its burst until all gateways are heard. What was charged
+// here since the start is deducted, as the peer may not know it yet.
+void AccountLimits::adoptBalances(const std::vector<AccountBalance>& balances)
 {
     for (const AccountBalance& known : balances) {
         auto bucket = m_buckets.find(known.account);
         if (bucket != m_buckets.end())
             bucket->second.balance = std::max(bucket->second.balance, std::min(bucket->second.burst, static_cast<double>((known.balance - bucket->second.charged).value())));
-        m_hasAdopted |= bucket != m_buckets.end();
+        m_hasAdoptedBalances |= bucket != m_buckets.end();
     }
 }
 
@@ -180,29 +181,29 @@
     if (found == m_buckets.end())
         return std::nullopt;
     Bucket& bucket = found->second;
-    Parts all = parts(now);
-    accrue(bucket, all, now);
+    RateShares shares = rateShares(now);
+    refill(bucket, shares, now);
     double amount = static_cast<double>(cost.value());
-    // A call above the whole burst is let in by a full bucket, which it then owes.
-    double needed = std::min(amount, bucket.burst * all.ofBurst());
+    // A call larger than the whole burst is admitted by a full bucket, whose balance then becomes negative.
+    double needed = std::min(amount, bucket.burst * shares.burstFraction());
     if (bucket.balance >= needed) {
         bucket.balance -= amount;
         bucket.charged += cost;
         return std::nullopt;
     }
-    return whenThere(bucket, all, needed, now);
+    return availableAt(bucket, shares, needed, now);
 }
 
-base::Instant AccountLimits::whenThere(const Bucket& bucket, const Parts& parts, double needed, base::Instant now)
+base::Instant AccountLimits::availableAt(const Bucket& bucket, const RateShares& shares, double needed, base::Instant now)
 {
-    double rate = std::max(bucket.rate * parts.ofRate(), 1.0);
+    double rate = std::max(bucket.rate * shares.rateFraction(), 1.0);
     return now + std::chrono::duration_cast<base::Duration>(std::chrono::duration<double>(std::max(needed - bucket.balance, 0.0) / rate));
 }
 
 base::Instant AccountLimits::expected(const base::ClientAccountId& account, base::Tokens cost, base::Instant now) const
 {
     auto found = m_buckets.find(account);
-    return found == m_buckets.end() ? now : whenThere(found->second, parts(now), static_cast<double>(cost.value()), now);
+    return found == m_buckets.end() ? now : availableAt(found->second, rateShares(now), static_cast<double>(cost.value()), now);
 }
 
 void AccountLimits::refund(const base::ClientAccountId& account, base::Tokens cost)
@@ -216,11 +217,11 @@
 
 LimitReport AccountLimits::report(Incarnation incarnation, base::Instant now) const
 {
-    Hearing own = hearing(now);
+    LiveSet own = liveSet(now);
     LimitReport report { incarnation, {}, std::move(own.silentPeers), own.digest, {} };
-    bool anyNew = std::any_of(m_peers.begin(), m_peers.end(), [&](const auto& entry) { return heardOfLate(entry.second, now) && now - entry.second.since < m_settings.startTime; });
-    // What has just started itself knows nothing of what was spent before.
-    bool sendBalances = anyNew && (m_hasAdopted || now - m_started > m_settings.startTime * 2);
+    bool anyNew = std::any_of(m_peers.begin(), m_peers.end(), [&](const auto& entry) { return recentlyHeard(entry.second, now) && now - entry.second.incarnationSeenAt < m_settings.startupWindow; });
+    // A gateway that has just started does not know what was spent before.
+    bool sendBalances = anyNew && (m_hasAdoptedBalances || now - m_started > m_settings.startupWindow * 2);
     for (const auto& [account, bucket] : m_buckets) {
         report.charges.push_back({ account, bucket.charged });
         if (sendBalances)
--- a/packages/direct/src/CallDispatcher.cpp
+++ b/packages/direct/src/CallDispatcher.cpp
@@ -9,13 +9,14 @@
 
 namespace {
 
-// Calls that wait are looked at together, this long after the first thing that may let one go on.
-constexpr auto pumpDelay = std::chrono::milliseconds(2);
-// Strikes are repeated to the peers for this long, against lost datagrams.
-constexpr auto strikeRepeat = std::chrono::seconds(2);
-// The planner reports several times a second.
-constexpr auto plannerSilence = std::chrono::milliseconds(1500);
-// A caller's request that crashes upstreams comes again within seconds; a day of strikes would hold back innocent ones.
+// Waiting calls are processed in batches, this long after the first event that may unblock one.
+constexpr auto queuePassDelay = std::chrono::milliseconds(2);
+// Strikes are sent to the peers repeatedly for this long, since datagrams may be lost.
+constexpr auto strikeRepeatTime = std::chrono::seconds(2);
+// The planner reports several times a second; without a report for this long it counts as absent.
+constexpr auto plannerReportLifetime = std::chrono::milliseconds(1500);
+// A request that crashes upstreams is repeated by its caller within seconds; strikes that last a day would block harmless
+// requests.
 constexpr auto strikeLifetime = std::chrono::seconds(60);
 
 routing::QuarantineSettings quarantineSettings()
@@ -41,22 +42,22 @@
 CallDispatcher::~CallDispatcher()
 {
     shutDownAll();
-    m_loop.cancel(m_pumpTimer);
+    m_loop.cancel(m_queuePassTimer);
     m_loop.cancel(m_tokenTimer);
 }
 
 void CallDispatcher::shutDownAll()
 {
-    auto runs = m_runs;
-    for (const auto& run : runs)
-        run->cutOff();
+    auto calls = m_activeCalls;
+    for (const auto& call : calls)
+        call->shutDown();
 }
 
 void CallDispatcher::onRequest(std::shared_ptr<http1::ServerExchange> exchange)
 {
-    auto run = std::make_shared<ProxiedCall>(*this, std::move(exchange));
-    m_runs.insert(run);
-    run->start();
+    auto call = std::make_shared<ProxiedCall>(*this, std::move(exchange));
+    m_activeCalls.insert(call);
+    call->start();
 }
 
 void CallDispatcher::onUnreadable(int status)
@@ -67,38 +68,38 @@
 void CallDispatcher::setDesiredState(std::shared_ptr<const DesiredState> state)
 {
     m_state = std::move(state);
-    m_inForceSince = now();
+    m_stateAppliedAt = now();
     m_limits.setAccounts(*m_state, now());
     wakeWaiting();
 }
 
 void CallDispatcher::setExpectedLoads(const std::vector<ExpectedLoad>& loads)
 {
-    m_expected.clear();
+    m_expectedLoads.clear();
     for (const auto& load : loads)
-        m_expected[load.target] = now() + load.in;
+        m_expectedLoads[load.target] = now() + load.in;
 }
 
 std::optional<base::Instant> CallDispatcher::expectedLoad(const ModelTarget& target) const
 {
-    auto found = m_expected.find({ target.model, AdapterId() });
-    if (found == m_expected.end())
+    auto found = m_expectedLoads.find({ target.model, AdapterId() });
+    if (found == m_expectedLoads.end())
         return std::nullopt;
     return found->second;
 }
 
-bool CallDispatcher::plannerKnown() const
+bool CallDispatcher::plannerActive() const
 {
-    return m_plannerHeard && now() - *m_plannerHeard < plannerSilence;
+    return m_lastPlannerReport && now() - *m_lastPlannerReport < plannerReportLifetime;
 }
 
-TokenQueue::Decision CallDispatcher::takeTokens(const std::shared_ptr<ProxiedCall>& run, const base::ClientAccountId& account, base::Tokens cost, base::Instant holdUntil)
+TokenQueue::Decision CallDispatcher::acquireTokens(const std::shared_ptr<ProxiedCall>& call, const base::ClientAccountId& account, base::Tokens cost, base::Instant maxWaitUntil)
 {
-    TokenQueue::Decision decision = m_tokenQueue.take(m_limits, account, cost, holdUntil, now());
-    if (decision.answer == TokenResult::Queued) {
-        m_held.emplace(decision.number, run);
+    TokenQueue::Decision decision = m_tokenQueue.chargeOrQueue(m_limits, account, cost, maxWaitUntil, now());
+    if (decision.result == TokenResult::Queued) {
+        m_awaitingTokens.emplace(decision.number, call);
         if (!m_tokenTimer)
-            m_tokenTimer = m_loop.at(decision.expected, [this] { serveTokenQueue(); });
+            m_tokenTimer = m_loop.at(decision.expected, [this] { processTokenQueue(); });
     }
     return decision;
 }
@@ -106,90 +107,90 @@
 void CallDispatcher::leaveTokenQueue(QueuedCallNumber number)
 {
     m_tokenQueue.remove(number);
-    m_held.erase(number);
+    m_awaitingTokens.erase(number);
 }
 
-void CallDispatcher::serveTokenQueue()
+void CallDispatcher::processTokenQueue()
 {
     m_loop.cancel(m_tokenTimer);
     m_tokenTimer = 0;
-    for (const auto& due : m_tokenQueue.due(m_limits, now())) {
-        auto held = m_held.extract(due.number);
-        if (held.empty())
+    for (const auto& due : m_tokenQueue.takeDue(m_limits, now())) {
+        auto waitingCall = m_awaitingTokens.extract(due.number);
+        if (waitingCall.empty())
             continue;
         if (due.charged)
-            held.mapped()->onTokens();
+            waitingCall.mapped()->onTokensCharged();
         else
-            held.mapped()->onNoTokens(due.expected);
+            waitingCall.mapped()->onTokensUnavailable(due.expected);
     }
-    // A fraction of a token short is looked at again in a moment, and not at once.
-    constexpr auto shortestPause = std::chrono::milliseconds(2);
-    if (auto next = m_tokenQueue.next(m_limits, now()))
-        m_tokenTimer = m_loop.at(std::max(*next, now() + shortestPause), [this] { serveTokenQueue(); });
+    // Keeps the timer from firing at once, again and again, while the bucket is short of a fraction of a token.
+    constexpr auto minTimerDelay = std::chrono::milliseconds(2);
+    if (auto next = m_tokenQueue.nextDue(m_limits, now()))
+        m_tokenTimer = m_loop.at(std::max(*next, now() + minTimerDelay), [this] { processTokenQueue(); });
 }
 
-void CallDispatcher::wait(const std::shared_ptr<ProxiedCall>& run)
+void CallDispatcher::enqueue(const std::shared_ptr<ProxiedCall>& call)
 {
-    run->setWaitNumber(++m_lastNumber);
-    m_waiting.emplace(run->waitNumber(), run);
-    m_demand.onWaiting(run->target(), 1);
-    if (!run->target().empty() && m_onTargetMissing)
+    call->setWaitNumber(++m_lastWaitNumber);
+    m_waiting.emplace(call->waitNumber(), call);
+    m_demand.onWaiting(call->target(), 1);
+    if (!call->target().empty() && m_onTargetMissing)
         m_onTargetMissing();
 }
 
-void CallDispatcher::stopWaiting(ProxiedCall& run)
+void CallDispatcher::dequeue(ProxiedCall& call)
 {
-    if (m_waiting.erase(run.waitNumber()))
-        m_demand.onWaiting(run.target(), -1);
+    if (m_waiting.erase(call.waitNumber()))
+        m_demand.onWaiting(call.target(), -1);
 }
 
-void CallDispatcher::ended(ProxiedCall& run)
+void CallDispatcher::onCallEnded(ProxiedCall& call)
 {
-    stopWaiting(run);
-    m_runs.erase(run.shared_from_this());
+    dequeue(call);
+    m_activeCalls.erase(call.shared_from_this());
     wakeWaiting();
 }
 
 void CallDispatcher::wakeWaiting()
 {
-    if (m_pumpDue || m_waiting.empty())
+    if (m_queuePassPending || m_waiting.empty())
         return;
-    m_pumpDue = true;
-    m_pumpTimer = m_loop.at(now() + pumpDelay, [this] { pump(); });
+    m_queuePassPending = true;
+    m_queuePassTimer = m_loop.at(now() + queuePassDelay, [this] { processQueue(); });
 }
 
-std::vector<std::shared_ptr<ProxiedCall>> CallDispatcher::inTurn() const
+std::vector<std::shared_ptr<ProxiedCall>> CallDispatcher::waitingInOrder() const
 {
-    std::map<QueuePosition, std::shared_ptr<ProxiedCall>> places;
-    for (const auto& [number, run] : m_waiting)
-        places.emplace(QueuePosition { run->rank(), run->turn(), number }, run);
-    std::vector<std::shared_ptr<ProxiedCall>> runs;
-    for (auto& [place, run] : places)
-        runs.push_back(std::move(run));
-    return runs;
+    std::map<QueuePosition, std::shared_ptr<ProxiedCall>> positions;
+    for (const auto& [number, call] : m_waiting)
+        positions.emplace(QueuePosition { call->priority(), call->queueClass(), number }, call);
+    std::vector<std::shared_ptr<ProxiedCall>> calls;
+    for (auto& [position, call] : positions)
+        calls.push_back(std::move(call));
+    return calls;
 }
 
-void CallDispatcher::pump()
+void CallDispatcher::processQueue()
 {
-    m_pumpDue = false;
-    // Behind a call that finds its upstreams full, others for the same target need not look.
-    std::map<QueueKey, BlockReason> blocked;
-    m_standing.beginPass(now());
-    for (const auto& run : inTurn()) {
-        QueueKey line(run->service(), run->target());
-        auto known = blocked.find(line);
-        BlockReason blockReason = known != blocked.end() && run->untried() ? known->second : run->tryDispatch();
+    m_queuePassPending = false;
+    // Once an unsent call is blocked, the other unsent calls for the same service and target are blocked in this pass too.
+    std::map<QueueKey, BlockReason> blockedQueues;
+    m_standingQueues.beginPass(now());
+    for (const auto& call : waitingInOrder()) {
+        QueueKey key(call->service(), call->target());
+        auto blocked = blockedQueues.find(key);
+        BlockReason blockReason = blocked != blockedQueues.end() && call->neverSent() ? blocked->second : call->tryDispatch();
         if (blockReason == BlockReason::None)
             continue;
-        if (run->untried())
-            blocked.emplace(line, blockReason);
-        bool late = blockReason == BlockReason::Full && run->turn() == QueueClass::Late;
-        if (late && m_standing.shouldRefuseLate(line))
-            run->refuseLate();
+        if (call->neverSent())
+            blockedQueues.emplace(key, blockReason);
+        bool isLate = blockReason == BlockReason::Full && call->queueClass() == QueueClass::Late;
+        if (isLate && m_standingQueues.shouldRefuseLate(key))
+            call->refuseLate();
         else
-            run->refuseIfHopeless(blockReason);
+            call->refuseIfUnservable(blockReason);
     }
-    m_standing.endPass();
+    m_standingQueues.endPass();
 }
 
 void CallDispatcher::tick()
@@ -197,19 +198,19 @@
     base::Instant time = now();
     m_upstreams.expireNotices(time);
     m_quarantine.expire(time);
-    strikeForCrashes();
+    strikeConfirmedCrashes();
     if (!m_tokenQueue.empty())
-        serveTokenQueue();
-    auto runs = m_runs;
-    for (const auto& run : runs) {
-        if (!run->underWay())
+        processTokenQueue();
+    auto calls = m_activeCalls;
+    for (const auto& call : calls) {
+        if (!call->inFlight())
             continue;
-        const UpstreamEntry* entry = m_upstreams.find(run->upstream());
+        const UpstreamEntry* entry = m_upstreams.find(call->upstream());
         if (!entry || UpstreamTable::silent(*entry, time))
-            run->onUpstreamSilent();
+            call->onUpstreamSilent();
     }
     if (!m_waiting.empty())
-        pump();
+        processQueue();
 }
 
 routing::RetryBudget& CallDispatcher::budget(const base::ServiceId& service)
@@ -221,36 +222,36 @@
     return m_budgets.try_emplace(service, settings).first->second;
 }
 
-void CallDispatcher::countForBudget(const base::ServiceId& service)
+void CallDispatcher::addToRetryBudget(const base::ServiceId& service)
 {
     budget(service).onRequest();
 }
 
-bool CallDispatcher::takeRetry(const base::ServiceId& service, int64_t retriesSoFar)
+bool CallDispatcher::consumeRetryBudget(const base::ServiceId& service, int64_t retriesSoFar)
 {
     bool taken = budget(service).tryRetry(true, retriesSoFar);
     m_metrics.count("toucanstep_retries_total", taken ? "granted=\"yes\"" : "granted=\"no\"");
     return taken;
 }
 
-void CallDispatcher::heardFrom(const base::UpstreamId& upstream)
+void CallDispatcher::onUpstreamHeard(const base::UpstreamId& upstream)
 {
     m_upstreams.onHeard(upstream, now());
-    m_crashes.onHeard(upstream, now());
+    m_crashDetector.onHeard(upstream, now());
 }
 
-void CallDispatcher::suspectCrash(const base::UpstreamId& upstream, const routing::RequestFingerprint& fingerprint)
+void CallDispatcher::reportSuspectedCrash(const base::UpstreamId& upstream, const routing::RequestFingerprint& fingerprint)
 {
     const UpstreamEntry* entry = m_upstreams.find(upstream);
-    m_crashes.onBroken({ upstream, entry ? entry->description.start : StartMark(), fingerprint, now() });
+    m_crashDetector.onConnectionLost({ upstream, entry ? entry->description.start : StartMark(), fingerprint, now() });
 }
 
-void CallDispatcher::strikeForCrashes()
+void CallDispatcher::strikeConfirmedCrashes()
 {
-    for (const auto& crashed : m_crashes.takeConfirmed(now())) {
+    for (const auto& crashed : m_crashDetector.takeConfirmed(now())) {
         routing::CrashId crash(base::concat(crashed.upstream, "/", crashed.start));
         for (auto& message : m_quarantine.onCrash(crash, { crashed.fingerprint }, now()))
-            m_strikes.emplace_back(now() + strikeRepeat, std::move(message));
+            m_strikes.emplace_back(now() + strikeRepeatTime, std::move(message));
     }
 }
 
--- a/packages/direct/src/CallDispatcher.h
+++ b/packages/direct/src/CallDispatcher.h
@@ -1,4 +1,5 @@
-// Everything that calls share at one gateway: the state in force, the upstreams, the limits, the line of those that wait.
+// Accepts callers' requests, queues those that cannot run yet, and holds what all calls of a gateway share: the desired
+// state, the upstream table, the account limits and the retry budgets.
 
 #pragma once
 
@@ -30,7 +31,7 @@
 
 struct CallDispatcherSettings {
     base::FailureDomain domain;
-    // Parts of the fleet's budget of repeats: for each hundred calls, and beyond that.
+    // This gateway's part of the fleet's retry budget: retries per hundred calls, and a fixed allowance on top.
     int64_t retryPercent = 16;
     int64_t retryReserve = 8;
 };
@@ -45,19 +46,22 @@
 
     void setDesiredState(std::shared_ptr<const DesiredState>);
     std::shared_ptr<const DesiredState> desiredState() const { return m_state; }
-    base::Instant inForceSince() const { return m_inForceSince; }
-    // When the store last answered, for the log.
+    base::Instant stateAppliedAt() const { return m_stateAppliedAt; }
+    // When the store last answered; for the log.
     void setLastStoreContact(base::Instant heard) { m_lastStoreContact = heard; }
     base::Instant lastStoreContact() const { return m_lastStoreContact; }
-    // What the planner expects of targets that are loaded nowhere; replaces what it said before.
+    // The planner's estimates for targets that are loaded nowhere; they replace the earlier ones.
     void setExpectedLoads(const std::vector<ExpectedLoad>&);
-    // Upstreams or their loaded models changed, or calls ended: those that wait may go on now.
+    // Schedules a pass over the waiting calls; to be called when upstreams or their loaded models have changed or calls have
+    // ended.
     void wakeWaiting();
-    // Looks after calls at upstreams that have stopped answering; to be called several times a second.
+    // Moves calls away from upstreams that have stopped answering, confirms crashes and processes the queues. To be called
+    // several times a second.
     void tick();
-    // The process ends: every caller is told what can be said. Nothing is taken afterwards.
+    // Ends every call at process shutdown, with an error answer where one can still be sent. No request may be passed in
+    // afterwards.
     void shutDownAll();
-    // Called where a call begins to wait for a target that no upstream holds.
+    // Sets the handler that is called when a call for a model starts to wait.
     void onTargetMissing(std::function<void()> handler) { m_onTargetMissing = std::move(handler); }
 
     io::EventLoop& loop() { return m_loop; }
@@ -70,34 +74,34 @@
     routing::Quarantine& quarantine() { return m_quarantine; }
     base::MetricsRegistry& metrics() { return m_metrics; }
     const CallDispatcherSettings& settings() const { return m_settings; }
-    size_t running() const { return m_runs.size(); }
+    size_t running() const { return m_activeCalls.size(); }
     size_t waiting() const { return m_waiting.size(); }
 
     // For ProxiedCall.
-    // Charges the account, or holds the call: onTokens() or onNoTokens() follows.
-    TokenQueue::Decision takeTokens(const std::shared_ptr<ProxiedCall>&, const base::ClientAccountId&, base::Tokens, base::Instant holdUntil);
+    // Charges the account, refuses the call, or queues it until onTokensCharged() or onTokensUnavailable() is called.
+    TokenQueue::Decision acquireTokens(const std::shared_ptr<ProxiedCall>&, const base::ClientAccountId&, base::Tokens, base::Instant maxWaitUntil);
     void leaveTokenQueue(QueuedCallNumber);
-    void wait(const std::shared_ptr<ProxiedCall>&);
-    void stopWaiting(ProxiedCall&);
-    void ended(ProxiedCall&);
-    bool takeRetry(const base::ServiceId&, int64_t retriesSoFar);
-    void countForBudget(const base::ServiceId&);
-    // When a target that is loaded nowhere will be, as the planner says; nothing where it has not said.
+    void enqueue(const std::shared_ptr<ProxiedCall>&);
+    void dequeue(ProxiedCall&);
+    void onCallEnded(ProxiedCall&);
+    bool consumeRetryBudget(const base::ServiceId&, int64_t retriesSoFar);
+    void addToRetryBudget(const base::ServiceId&);
+    // When the planner expects the target's model to be loaded; nothing without an estimate. Adapters are not considered.
     std::optional<base::Instant> expectedLoad(const ModelTarget&) const;
-    void heardFrom(const base::UpstreamId&);
-    // The call broke off there: its request may have crashed the upstream.
-    void suspectCrash(const base::UpstreamId&, const routing::RequestFingerprint&);
+    void onUpstreamHeard(const base::UpstreamId&);
+    // The connection broke during the call, so its request may have crashed the upstream.
+    void reportSuspectedCrash(const base::UpstreamId&, const routing::RequestFingerprint&);
     std::vector<routing::StrikeMessage> recentStrikes();
-    // The planner was heard of late; without one nothing is loaded.
-    void onPlannerReport() { m_plannerHeard = now(); }
-    bool plannerKnown() const;
+    void onPlannerReport() { m_lastPlannerReport = now(); }
+    // Whether the planner has reported recently; without it nothing is loaded.
+    bool plannerActive() const;
 
 private:
-    void strikeForCrashes();
-    void serveTokenQueue();
-    void pump();
-    // Those that wait, in the order in which they may go on now.
-    std::vector<std::shared_ptr<ProxiedCall>> inTurn() const;
+    void strikeConfirmedCrashes();
+    void processTokenQueue();
+    void processQueue();
+    // In dispatch order.
+    std::vector<std::shared_ptr<ProxiedCall>> waitingInOrder() const;
     routing::RetryBudget& budget(const base::ServiceId&);
 
     io::EventLoop& m_loop;
@@ -106,27 +110,27 @@
     base::MetricsRegistry& m_metrics;
     CallDispatcherSettings m_settings;
     std::shared_ptr<const DesiredState> m_state;
-    base::Instant m_inForceSince;
+    base::Instant m_stateAppliedAt;
     base::Instant m_lastStoreContact;
     UpstreamTable m_upstreams;
     AccountLimits m_limits;
     TokenQueue m_tokenQueue;
-    std::map<QueuedCallNumber, std::shared_ptr<ProxiedCall>> m_held;
+    std::map<QueuedCallNumber, std::shared_ptr<ProxiedCall>> m_awaitingTokens;
     io::EventLoop::TimerId m_tokenTimer = 0;
     DemandTracker m_demand;
     routing::Quarantine m_quarantine;
     std::map<base::ServiceId, routing::RetryBudget> m_budgets;
-    std::map<ModelTarget, base::Instant> m_expected;
-    std::optional<base::Instant> m_plannerHeard;
+    std::map<ModelTarget, base::Instant> m_expectedLoads;
+    std::optional<base::Instant> m_lastPlannerReport;
     std::function<void()> m_onTargetMissing;
-    std::set<std::shared_ptr<ProxiedCall>> m_runs;
-    StandingQueueDetector m_standing;
-    // By the number under which each began to wait.
+    std::set<std::shared_ptr<ProxiedCall>> m_activeCalls;
+    StandingQueueDetector m_standingQueues;
+    // By wait number, which grows with each call that starts to wait.
     std::map<uint64_t, std::shared_ptr<ProxiedCall>> m_waiting;
-    uint64_t m_lastNumber = 0;
-    io::EventLoop::TimerId m_pumpTimer = 0;
-    bool m_pumpDue = false;
-    CrashDetector m_crashes;
+    uint64_t m_lastWaitNumber = 0;
+    io::EventLoop::TimerId m_queuePassTimer = 0;
+    bool m_queuePassPending = false;
+    CrashDetector m_crashDetector;
     std::vector<std::pair<base::Instant, routing::StrikeMessage>> m_strikes;
 };
 
--- a/packages/direct/src/DemandTracker.cpp
+++ b/packages/direct/src/DemandTracker.cpp
@@ -6,40 +6,40 @@
 
 namespace {
 
-// Long enough to smooth over single calls, short enough to follow demand that moves within seconds.
-constexpr double averagedSeconds = 4;
-// Below this many calls a second a target counts as not asked for.
-constexpr double forgottenRate = 0.02;
+// In seconds. Long enough to smooth out single calls, short enough to follow demand that shifts within seconds.
+constexpr double rateTimeConstant = 4;
+// Targets with fewer calls per second than this count as unused.
+constexpr double minTrackedRate = 0.02;
 constexpr double perKilosecond = 1000;
-// Longer than the bursts that an engine works off by itself, shorter than callers have patience.
-constexpr double awaitingAveragedSeconds = 1.5;
+// In seconds. Longer than the bursts that an engine absorbs by itself, shorter than callers are willing to wait.
+constexpr double awaitingTimeConstant = 1.5;
 constexpr double thousandths = 1000;
 
 } // namespace
 
 double DemandTracker::rateAt(const Entry& entry, base::Instant now)
 {
-    return entry.rate * std::exp(-base::toSeconds(now - entry.rateAsOf) / averagedSeconds);
+    return entry.rate * std::exp(-base::toSeconds(now - entry.rateAsOf) / rateTimeConstant);
 }
 
 void DemandTracker::onArrival(const ModelTarget& target, base::Instant now)
 {
     Entry& entry = m_entries[target];
-    entry.rate = rateAt(entry, now) + 1 / averagedSeconds;
+    entry.rate = rateAt(entry, now) + 1 / rateTimeConstant;
     entry.rateAsOf = now;
 }
 
-void DemandTracker::advanceAwaiting(Entry& entry, base::Instant now)
+void DemandTracker::updateAwaitingAverage(Entry& entry, base::Instant now)
 {
-    double kept = std::exp(-base::toSeconds(now - entry.awaitingAsOf) / awaitingAveragedSeconds);
-    entry.awaitingAverage = entry.awaitingAverage * kept + static_cast<double>(entry.awaiting) * (1 - kept);
+    double decay = std::exp(-base::toSeconds(now - entry.awaitingAsOf) / awaitingTimeConstant);
+    entry.awaitingAverage = entry.awaitingAverage * decay + static_cast<double>(entry.awaiting) * (1 - decay);
     entry.awaitingAsOf = now;
 }
 
 void DemandTracker::onSent(const ModelTarget& target, base::Instant now)
 {
     Entry& entry = m_entries[target];
-    advanceAwaiting(entry, now);
+    updateAwaitingAverage(entry, now);
     ++entry.running;
     ++entry.awaiting;
 }
@@ -47,7 +47,7 @@
 void DemandTracker::onAnswerBegun(const ModelTarget& target, base::Instant now)
 {
     Entry& entry = m_entries[target];
-    advanceAwaiting(entry, now);
+    updateAwaitingAverage(entry, now);
     --entry.awaiting;
 }
 
@@ -57,7 +57,7 @@
     --entry.running;
     if (begun)
         return;
-    advanceAwaiting(entry, now);
+    updateAwaitingAverage(entry, now);
     --entry.awaiting;
 }
 
@@ -73,10 +73,10 @@
         std::erase_if(entry.refusedUntil, [&](base::Instant until) { return until <= now; });
     std::erase_if(m_entries, [&](const auto& item) {
         const Entry& entry = item.second;
-        return !entry.waiting && entry.refusedUntil.empty() && !entry.running && rateAt(entry, now) < forgottenRate;
+        return !entry.waiting && entry.refusedUntil.empty() && !entry.running && rateAt(entry, now) < minTrackedRate;
     });
     for (auto& [target, entry] : m_entries) {
-        advanceAwaiting(entry, now);
+        updateAwaitingAverage(entry, now);
         TargetDemand summed { target, entry.waiting + static_cast<int64_t>(entry.refusedUntil.size()), entry.running };
         summed.arrivalsPerKilosecond = static_cast<int64_t>(rateAt(entry, now) * perKilosecond);
         summed.awaitingThousandths = static_cast<int64_t>(entry.awaitingAverage * thousandths);
--- a/packages/direct/src/EventSplitter.cpp
+++ b/packages/direct/src/EventSplitter.cpp
@@ -6,14 +6,14 @@
 
 namespace {
 
-// The end of the last whole event, or 0. A blank line ends an event, with either kind of line end.
+// The end of the last complete event, or 0. A blank line ends an event; line ends may be LF or CRLF.
 size_t endOfWholeEvents(std::string_view text)
 {
     size_t end = 0;
-    for (std::string_view blank : { std::string_view("\n\n"), std::string_view("\n\r\n") }) {
-        size_t at = text.rfind(blank);
+    for (std::string_view blankLine : { std::string_view("\n\n"), std::string_view("\n\r\n") }) {
+        size_t at = text.rfind(blankLine);
         if (at != std::string_view::npos)
-            end = std::max(end, at + blank.size());
+            end = std::max(end, at + blankLine.size());
     }
     return end;
 }
@@ -26,11 +26,11 @@
     size_t end = endOfWholeEvents(m_partial);
     std::string whole = m_partial.substr(0, end);
     m_partial.erase(0, end);
-    noteIds(whole);
+    recordEventIds(whole);
     return whole;
 }
 
-void EventSplitter::noteIds(std::string_view events)
+void EventSplitter::recordEventIds(std::string_view events)
 {
     constexpr std::string_view field = "id:";
     size_t at = 0;
--- a/packages/direct/src/ProxiedCall.cpp
+++ b/packages/direct/src/ProxiedCall.cpp
@@ -10,47 +10,49 @@
 
 namespace {
 
-constexpr int statusRedirects = 300;
+constexpr int firstRedirectStatus = 300;
 constexpr int statusBadRequest = 400;
 constexpr int statusUnauthorized = 401;
 constexpr int statusNotFound = 404;
 constexpr int statusTooManyRequests = 429;
-constexpr int statusServerErrors = 500;
+constexpr int firstServerErrorStatus = 500;
 constexpr int statusBadGateway = 502;
 constexpr int statusUnavailable = 503;
 constexpr int statusGatewayTimeout = 504;
 
-// A connection inside a region stands within milliseconds; an upstream that needs this long is gone or cut off.
-constexpr auto connectTime = std::chrono::milliseconds(300);
-// Answers up to this size are passed on whole, so that one that breaks off midway can still be told as a failure.
-constexpr size_t wholeAnswerBytes = 64 * 1024;
-// Upstreams that may turn one call away before it is refused.
-constexpr int64_t mostSends = 4;
-// A call that starts later than this before its deadline cannot end in time: a prompt, and a first event.
-constexpr auto shortestRun = std::chrono::milliseconds(150);
-// How long a call waits without a word from the planner about the target that it needs.
-constexpr auto patienceWithoutPlan = std::chrono::milliseconds(1500);
-// How long a call waits where no upstream of its service can be used: as long as one that crashed needs to be noticed.
-constexpr auto patienceWithoutUpstream = std::chrono::milliseconds(400);
-// A call waits for its account's tokens for this part of its latency target; it still has to be sent and begun.
-constexpr double heldPart = 0.3;
-// Retry-After where nothing better is known.
+// Connections within a region are established in milliseconds; an upstream that needs this long is down or unreachable.
+constexpr auto connectTimeout = std::chrono::milliseconds(300);
+// Answers up to this size are buffered and delivered whole, so that a failure midway can still be reported as an error.
+constexpr size_t maxBufferedAnswerBytes = 64 * 1024;
+// How often a call may be sent, including sends that were rejected or could not connect.
+constexpr int64_t maxSends = 4;
+// A call that starts less than this before its deadline cannot finish in time: its prompt has to be read and a first event
+// produced.
+constexpr auto minRunTime = std::chrono::milliseconds(150);
+// How long a call waits for a target that is not loaded while the planner is absent and has given no estimate for it.
+constexpr auto maxWaitWithoutPlan = std::chrono::milliseconds(1500);
+// How long a call waits while no upstream of its service is usable: the time it takes to detect a crashed upstream.
+constexpr auto maxWaitWithoutUpstream = std::chrono::milliseconds(400);
+// A call waits for its account's tokens for at most this fraction of its latency target; the rest is left for sending it and
+// for the start of the answer.
+constexpr double tokenWaitFraction = 0.3;
+// Retry-After without a better estimate.
 constexpr auto defaultRetryAfter = std::chrono::milliseconds(500);
-// Retry-After of calls that are refused together is spread over this part more, so that they do not return together.
-constexpr double retrySpread = 0.5;
+// Retry-After is increased by up to this fraction, so that calls that are refused together do not come back together.
+constexpr double retryJitter = 0.5;
 
 std::string_view pathOf(std::string_view target)
 {
     return target.substr(0, target.find('?'));
 }
 
-// The same call sent again has the same fingerprint. `id` differs between attempts and is left out.
+// A repeated call has the same fingerprint. The request id differs between attempts and is left out.
 routing::RequestFingerprint fingerprintOfCall(const base::ClientAccountId& account, const http1::RequestHead& head, std::string_view body)
 {
     return routing::fingerprintOf(account, base::concat(head.method, " ", head.target, "\n", body));
 }
 
-double spreadOf(const base::RequestId& id)
+double jitterOf(const base::RequestId& id)
 {
     constexpr size_t steps = 1024;
     return static_cast<double>(std::hash<std::string> {}(id.value()) % steps) / steps;
@@ -58,138 +60,138 @@
 
 } // namespace
 
-ProxiedCall::ProxiedCall(CallDispatcher& desk, std::shared_ptr<http1::ServerExchange> caller)
-    : m_desk(desk)
-    , m_caller(std::move(caller))
-    , m_state(desk.desiredState())
-    , m_stateSince(desk.inForceSince())
-    , m_lastStoreContact(desk.lastStoreContact())
-    , m_arrived(desk.now())
+ProxiedCall::ProxiedCall(CallDispatcher& dispatcher, std::shared_ptr<http1::ServerExchange> caller)
+    : m_dispatcher(dispatcher)
+    , m_callerExchange(std::move(caller))
+    , m_state(dispatcher.desiredState())
+    , m_stateAppliedAt(dispatcher.stateAppliedAt())
+    , m_lastStoreContact(dispatcher.lastStoreContact())
+    , m_arrived(dispatcher.now())
 {
 }
 
 ProxiedCall::~ProxiedCall()
 {
-    m_desk.loop().cancel(m_timer);
+    m_dispatcher.loop().cancel(m_timer);
 }
 
-base::Duration ProxiedCall::left() const { return base::remaining(m_desk.now(), m_deadline); }
+base::Duration ProxiedCall::timeLeft() const { return base::remaining(m_dispatcher.now(), m_deadline); }
 
 void ProxiedCall::start()
 {
     bool admitted = admit();
     if (m_phase == Phase::Done)
         return;
-    m_timer = m_desk.loop().at(m_deadline, [weak = weak_from_this()] {
+    m_timer = m_dispatcher.loop().at(m_deadline, [weak = weak_from_this()] {
         if (auto self = weak.lock())
-            self->deadlinePassed();
+            self->onDeadline();
     });
-    m_caller->onGone([weak = weak_from_this()] {
+    m_callerExchange->onGone([weak = weak_from_this()] {
         if (auto self = weak.lock())
-            self->callerLeft();
+            self->onCallerGone();
     });
     if (admitted)
-        goOn();
+        onAdmitted();
 }
 
-void ProxiedCall::goOn()
+void ProxiedCall::onAdmitted()
 {
     m_phase = Phase::Checking;
-    m_desk.demand().onArrival(m_call.target, m_desk.now());
-    m_desk.countForBudget(m_service);
-    waitAgain();
+    m_dispatcher.demand().onArrival(m_call.target, m_dispatcher.now());
+    m_dispatcher.addToRetryBudget(m_service);
+    dispatchOrWait();
 }
 
 bool ProxiedCall::admit()
 {
     std::string reason;
-    const http1::RequestHead& head = m_caller->head();
-    auto call = m_desk.format().readCall(head, reason);
+    const http1::RequestHead& head = m_callerExchange->head();
+    auto call = m_dispatcher.format().readCall(head, reason);
     if (!call) {
-        refuse(statusBadRequest, "bad_request", Ran::No, reason);
+        refuse(statusBadRequest, "bad_request", Execution::NotRun, reason);
         return false;
     }
     m_call = std::move(*call);
     if (!m_state) {
-        refuse(statusUnavailable, "starting", Ran::No, "the gateway does not know the desired state yet", defaultRetryAfter);
+        refuse(statusUnavailable, "starting", Execution::NotRun, "the gateway does not know the desired state yet", defaultRetryAfter);
         return false;
     }
     const std::string* host = head.headers.find("host");
     m_route = m_state->findRoute(host ? std::string_view(*host) : std::string_view(), pathOf(head.target));
     if (!m_route) {
-        refuse(statusNotFound, "unknown_route", Ran::No, "no route has this host and path");
+        refuse(statusNotFound, "unknown_route", Execution::NotRun, "no route has this host and path");
         return false;
     }
     const Account* account = nullptr;
     if (!m_route->open && !m_state->accounts.empty()) {
         account = m_call.key.empty() ? nullptr : m_state->findAccountByKey(base::KeyFingerprint(base::sha256Hex(m_call.key)));
         if (!account) {
-            refuse(statusUnauthorized, "unauthorized", Ran::No, "the key is missing or not known");
+            refuse(statusUnauthorized, "unauthorized", Execution::NotRun, "the key is missing or not known");
             return false;
         }
         m_account = account->limits.id;
     }
-    m_rank = account && account->priority ? *account->priority : m_route->priority;
+    m_priority = account && account->priority ? *account->priority : m_route->priority;
     base::Duration limit = m_call.timeLimit ? std::min(*m_call.timeLimit, m_route->timeout) : m_route->timeout;
     m_deadline = m_arrived + limit;
     bool leavesEarlier = m_route->callerPatience > base::Duration::zero() && m_route->callerPatience < limit;
-    m_beginBy = leavesEarlier ? m_arrived + m_route->callerPatience : m_deadline;
-    m_fingerprint = fingerprintOfCall(m_account, head, m_caller->body());
-    if (m_desk.quarantine().state(m_fingerprint, m_arrived) == routing::QuarantineState::Refused) {
-        refuse(statusUnavailable, "request_quarantined", Ran::No, "this request has broken off at several upstreams");
+    m_answerStartDeadline = leavesEarlier ? m_arrived + m_route->callerPatience : m_deadline;
+    m_fingerprint = fingerprintOfCall(m_account, head, m_callerExchange->body());
+    if (m_dispatcher.quarantine().state(m_fingerprint, m_arrived) == routing::QuarantineState::Refused) {
+        refuse(statusUnavailable, "request_quarantined", Execution::NotRun, "this request has broken off at several upstreams");
         return false;
     }
-    if (!chooseService(*m_route))
+    if (!selectService(*m_route))
         return false;
-    return !account || !account->limited() || takeTokens(*account);
+    return !account || !account->limited() || acquireTokens(*account);
 }
 
-bool ProxiedCall::takeTokens(const Account& account)
+bool ProxiedCall::acquireTokens(const Account& account)
 {
     m_cost = account.countsTokens ? (m_call.declaresTokens ? m_call.cost() : account.baseCost) : base::Tokens(1);
-    auto holdUntil = m_arrived + std::chrono::duration_cast<base::Duration>(m_route->latencyTarget * heldPart);
-    TokenQueue::Decision decision = m_desk.takeTokens(shared_from_this(), m_account, m_cost, holdUntil);
-    switch (decision.answer) {
+    auto maxWaitUntil = m_arrived + std::chrono::duration_cast<base::Duration>(m_route->latencyTarget * tokenWaitFraction);
+    TokenQueue::Decision decision = m_dispatcher.acquireTokens(shared_from_this(), m_account, m_cost, maxWaitUntil);
+    switch (decision.result) {
     case TokenResult::Charged:
         m_charged = m_cost;
         return true;
     case TokenResult::Queued:
-        m_held = decision.number;
-        m_phase = Phase::Held;
+        m_tokenQueueNumber = decision.number;
+        m_phase = Phase::WaitingForTokens;
         return false;
     case TokenResult::Refused:
-        onNoTokens(decision.expected);
+        onTokensUnavailable(decision.expected);
         break;
     }
     return false;
 }
 
-void ProxiedCall::onTokens()
+void ProxiedCall::onTokensCharged()
 {
-    m_held.reset();
+    m_tokenQueueNumber.reset();
     m_charged = m_cost;
-    goOn();
+    onAdmitted();
 }
 
-void ProxiedCall::onNoTokens(base::Instant expected)
+void ProxiedCall::onTokensUnavailable(base::Instant expected)
 {
-    m_held.reset();
-    refuse(statusTooManyRequests, "rate_limited", Ran::No, "the account is over its rate", base::remaining(m_desk.now(), expected));
+    m_tokenQueueNumber.reset();
+    refuse(statusTooManyRequests, "rate_limited", Execution::NotRun, "the account is over its rate", base::remaining(m_dispatcher.now(), expected));
 }
 
-bool ProxiedCall::chooseService(const Route& route)
+bool ProxiedCall::selectService(const Route& route)
 {
     int64_t total = 0;
     for (const auto& destination : route.destinations)
         total += std::max<int64_t>(destination.weight, 0);
     if (total <= 0) {
-        refuse(statusUnavailable, "no_destination", Ran::No, "the route has no service with a weight", defaultRetryAfter);
+        refuse(statusUnavailable, "no_destination", Execution::NotRun, "the route has no service with a weight", defaultRetryAfter);
         return false;
     }
-    auto drawn = static_cast<int64_t>(std::hash<std::string> {}(m_call.id.value()) % static_cast<size_t>(total));
+    auto draw = static_cast<int64_t>(std::hash<std::string> {}(m_call.id.value()) % static_cast<size_t>(total));
     for (const auto& destination : route.destinations) {
-        drawn -= std::max<int64_t>(destination.weight, 0);
-        if (drawn < 0) {
+        draw -= std::max<int64_t>(destination.weight, 0);
+        if (draw < 0) {
             m_service = destination.service;
             break;
         }
@@ -202,60 +204,60 @@
     UpstreamQuery query;
     query.service = m_service;
     query.target = m_call.target;
-    query.triedUpstreams = &m_tried;
-    query.domain = m_desk.settings().domain;
+    query.triedUpstreams = &m_triedUpstreams;
+    query.domain = m_dispatcher.settings().domain;
     query.spreadKey = m_call.id.value();
     if (!m_call.prompt.empty())
         query.promptPrefix = m_call.prompt.front().hash;
-    UpstreamSelection choice = selectUpstream(m_desk.upstreams(), query, m_desk.now());
+    UpstreamSelection choice = selectUpstream(m_dispatcher.upstreams(), query, m_dispatcher.now());
     if (choice.blockReason == BlockReason::None)
         send(choice.upstream);
     return choice.blockReason;
 }
 
-void ProxiedCall::waitAgain()
+void ProxiedCall::dispatchOrWait()
 {
-    leaveUpstream();
+    releaseUpstream();
     BlockReason blockReason = tryDispatch();
     if (blockReason == BlockReason::None)
         return;
     if (!m_sends)
-        m_waitedFor = blockReason;
-    if (refuseIfHopeless(blockReason))
+        m_firstBlockReason = blockReason;
+    if (refuseIfUnservable(blockReason))
         return;
     m_phase = Phase::Waiting;
-    m_desk.wait(shared_from_this());
+    m_dispatcher.enqueue(shared_from_this());
 }
 
-QueueClass ProxiedCall::turn() const
+QueueClass ProxiedCall::queueClass() const
 {
-    return queueClassOf(m_firstByte.has_value(), m_arrived, m_route->latencyTarget, m_desk.now());
+    return queueClassOf(m_firstByte.has_value(), m_arrived, m_route->latencyTarget, m_dispatcher.now());
 }
 
-bool ProxiedCall::refuseIfHopeless(BlockReason blockReason)
+bool ProxiedCall::refuseIfUnservable(BlockReason blockReason)
 {
-    // A stream that has begun has no refusal left: it is ended where it cannot go on.
-    bool begun = m_firstByte.has_value();
-    base::Instant time = m_desk.now();
-    Ran ran = m_runs ? Ran::Maybe : Ran::No;
+    // A stream that has started can no longer be refused; it is aborted if it cannot continue.
+    bool answerStarted = m_firstByte.has_value();
+    base::Instant time = m_dispatcher.now();
+    Execution execution = m_possibleRuns ? Execution::MayHaveRun : Execution::NotRun;
     if (blockReason == BlockReason::NotLoaded) {
-        auto expected = m_desk.expectedLoad(m_call.target);
-        if (expected && *expected + shortestRun > m_beginBy && !begun) {
-            m_desk.demand().onRefused(m_call.target, m_beginBy);
-            refuse(statusUnavailable, "not_loaded_in_time", ran, "the model will not be loaded in time", base::remaining(time, *expected));
+        auto expected = m_dispatcher.expectedLoad(m_call.target);
+        if (expected && *expected + minRunTime > m_answerStartDeadline && !answerStarted) {
+            m_dispatcher.demand().onRefused(m_call.target, m_answerStartDeadline);
+            refuse(statusUnavailable, "not_loaded_in_time", execution, "the model will not be loaded in time", base::remaining(time, *expected));
             return true;
         }
-        if (!expected && !m_desk.plannerKnown() && time - m_arrived > patienceWithoutPlan && !begun) {
-            refuse(statusUnavailable, "not_loaded", ran, "the model is not loaded", defaultRetryAfter);
+        if (!expected && !m_dispatcher.plannerActive() && time - m_arrived > maxWaitWithoutPlan && !answerStarted) {
+            refuse(statusUnavailable, "not_loaded", execution, "the model is not loaded", defaultRetryAfter);
             return true;
         }
     }
-    if (blockReason == BlockReason::NoUpstream && time - m_arrived > patienceWithoutUpstream && !begun) {
-        refuse(statusUnavailable, "no_upstream", ran, "no upstream of the service can be used", defaultRetryAfter);
+    if (blockReason == BlockReason::NoUpstream && time - m_arrived > maxWaitWithoutUpstream && !answerStarted) {
+        refuse(statusUnavailable, "no_upstream", execution, "no upstream of the service can be used", defaultRetryAfter);
         return true;
     }
-    if (time + shortestRun > m_beginBy && !begun) {
-        refuse(statusUnavailable, "overloaded", ran, "no upstream can take the call in time", defaultRetryAfter);
+    if (time + minRunTime > m_answerStartDeadline && !answerStarted) {
+        refuse(statusUnavailable, "overloaded", execution, "no upstream can take the call in time", defaultRetryAfter);
         return true;
     }
     return false;
@@ -263,97 +265,97 @@
 
 void ProxiedCall::refuseLate()
 {
-    refuse(statusUnavailable, "overloaded", m_runs ? Ran::Maybe : Ran::No, "more calls come than the upstreams can run", defaultRetryAfter);
+    refuse(statusUnavailable, "overloaded", m_possibleRuns ? Execution::MayHaveRun : Execution::NotRun, "more calls come than the upstreams can run", defaultRetryAfter);
 }
 
 std::string ProxiedCall::requestHead(const base::UpstreamId& upstream) const
 {
-    const http1::RequestHead& head = m_caller->head();
+    const http1::RequestHead& head = m_callerExchange->head();
     std::string out = base::concat(head.method, " ", head.target, " HTTP/1.1\r\n");
     auto options = http1::connectionOptionsOf(head.headers);
     for (const auto& header : head.headers.all()) {
-        if (!http1::isHopByHop(header.name, options) && !m_desk.format().isSystemHeader(header.name))
+        if (!http1::isHopByHop(header.name, options) && !m_dispatcher.format().isSystemHeader(header.name))
             http1::appendHeader(out, header.name, header.value);
     }
     ForwardedCall forwarded;
     forwarded.upstream = upstream;
     forwarded.account = m_account;
-    forwarded.timeLeft = left();
-    forwarded.priority = std::clamp<int64_t>(m_rank, 0, lowestPriority);
+    forwarded.timeLeft = timeLeft();
+    forwarded.priority = std::clamp<int64_t>(m_priority, 0, lowestPriority);
     forwarded.resumeAfter = m_events.lastId().empty() ? m_call.resumeAfter : m_events.lastId();
-    m_desk.format().appendForwardedHeaders(out, forwarded);
-    bool hasBody = !m_caller->body().empty() || head.headers.find("content-length") || head.headers.find("transfer-encoding");
+    m_dispatcher.format().appendForwardedHeaders(out, forwarded);
+    bool hasBody = !m_callerExchange->body().empty() || head.headers.find("content-length") || head.headers.find("transfer-encoding");
     if (hasBody)
-        http1::appendHeader(out, "Content-Length", std::to_string(m_caller->body().size()));
+        http1::appendHeader(out, "Content-Length", std::to_string(m_callerExchange->body().size()));
     return out + "\r\n";
 }
 
 void ProxiedCall::send(const base::UpstreamId& upstream)
 {
-    m_desk.stopWaiting(*this);
-    UpstreamEntry* entry = m_desk.upstreams().find(upstream);
+    m_dispatcher.dequeue(*this);
+    UpstreamEntry* entry = m_dispatcher.upstreams().find(upstream);
     http1::OutgoingRequest request;
     request.head = requestHead(upstream);
-    request.body = m_caller->body();
-    request.answersHead = m_caller->head().method == "HEAD";
-    request.connectDeadline = m_desk.now() + connectTime;
+    request.body = m_callerExchange->body();
+    request.answersHead = m_callerExchange->head().method == "HEAD";
+    request.connectDeadline = m_dispatcher.now() + connectTimeout;
     m_phase = m_firstByte ? Phase::Delivering : Phase::Sent;
-    m_haveHead = false;
+    m_receivedHead = false;
     m_upstream = upstream;
-    m_tried.insert(upstream);
+    m_triedUpstreams.insert(upstream);
     if (!m_sends)
-        m_firstSent = m_desk.now();
+        m_firstSent = m_dispatcher.now();
     ++m_sends;
-    ++m_runs;
-    m_desk.upstreams().onDispatched(upstream, m_desk.now());
-    m_desk.demand().onSent(m_call.target, m_desk.now());
-    m_exchange = m_desk.client().send({ upstream.value(), entry->description.endpoint }, std::move(request), this);
+    ++m_possibleRuns;
+    m_dispatcher.upstreams().onDispatched(upstream, m_dispatcher.now());
+    m_dispatcher.demand().onSent(m_call.target, m_dispatcher.now());
+    m_upstreamExchange = m_dispatcher.client().send({ upstream.value(), entry->description.endpoint }, std::move(request), this);
 }
 
-void ProxiedCall::leaveUpstream()
+void ProxiedCall::releaseUpstream()
 {
-    if (!m_exchange)
+    if (!m_upstreamExchange)
         return;
-    m_exchange.reset();
-    m_desk.upstreams().onEnded(m_upstream, m_haveHead);
-    m_desk.demand().onEnded(m_call.target, m_haveHead, m_desk.now());
-    m_desk.wakeWaiting();
+    m_upstreamExchange.reset();
+    m_dispatcher.upstreams().onEnded(m_upstream, m_receivedHead);
+    m_dispatcher.demand().onEnded(m_call.target, m_receivedHead, m_dispatcher.now());
+    m_dispatcher.wakeWaiting();
 }
 
 void ProxiedCall::onHead(http1::ResponseHead head)
 {
-    m_desk.heardFrom(m_upstream);
-    if (!m_haveHead) {
-        m_desk.upstreams().onAnswerBegun(m_upstream);
-        m_desk.demand().onAnswerBegun(m_call.target, m_desk.now());
+    m_dispatcher.onUpstreamHeard(m_upstream);
+    if (!m_receivedHead) {
+        m_dispatcher.upstreams().onAnswerBegun(m_upstream);
+        m_dispatcher.demand().onAnswerBegun(m_call.target, m_dispatcher.now());
     }
-    m_verdict = m_desk.format().readVerdict(head);
-    m_head = std::move(head);
-    m_haveHead = true;
-    m_body.clear();
+    m_responseMetadata = m_dispatcher.format().readVerdict(head);
+    m_responseHead = std::move(head);
+    m_receivedHead = true;
+    m_bufferedBody.clear();
     m_passThrough = false;
 }
 
 void ProxiedCall::onBody(std::string_view piece)
 {
-    m_desk.heardFrom(m_upstream);
+    m_dispatcher.onUpstreamHeard(m_upstream);
     auto self = shared_from_this();
-    bool foreign = !m_verdict.id.empty() && m_verdict.id != m_call.id;
-    bool good = m_head.status < statusRedirects && m_verdict.hasSignature && !foreign;
-    if (good && m_verdict.streaming) {
+    bool foreign = !m_responseMetadata.id.empty() && m_responseMetadata.id != m_call.id;
+    bool accepted = m_responseHead.status < firstRedirectStatus && m_responseMetadata.hasSignature && !foreign;
+    if (accepted && m_responseMetadata.streaming) {
         if (!m_firstByte)
-            beginStream();
-        m_caller->write(m_route->resumable ? m_events.feed(piece) : std::string(piece));
+            startStreaming();
+        m_callerExchange->write(m_route->resumable ? m_events.feed(piece) : std::string(piece));
         return;
     }
-    m_body.append(piece);
-    if (good && !m_passThrough && m_body.size() > wholeAnswerBytes) {
+    m_bufferedBody.append(piece);
+    if (accepted && !m_passThrough && m_bufferedBody.size() > maxBufferedAnswerBytes) {
         m_passThrough = true;
-        beginStream();
+        startStreaming();
     }
     if (m_passThrough) {
-        m_caller->write(m_body);
-        m_body.clear();
+        m_callerExchange->write(m_bufferedBody);
+        m_bufferedBody.clear();
     }
 }
 
@@ -372,80 +374,80 @@
 
 } // namespace
 
-void ProxiedCall::beginStream()
+void ProxiedCall::startStreaming()
 {
-    m_firstByte = m_desk.now();
+    m_firstByte = m_dispatcher.now();
     m_phase = Phase::Delivering;
-    m_caller->begin({ m_head.status, m_head.reason, endToEndHeaders(m_head), std::nullopt });
+    m_callerExchange->begin({ m_responseHead.status, m_responseHead.reason, endToEndHeaders(m_responseHead), std::nullopt });
 }
 
-void ProxiedCall::deliverWhole()
+void ProxiedCall::deliverBufferedAnswer()
 {
-    m_firstByte = m_desk.now();
-    m_caller->answer({ m_head.status, m_head.reason, endToEndHeaders(m_head), std::nullopt }, m_body);
+    m_firstByte = m_dispatcher.now();
+    m_callerExchange->answer({ m_responseHead.status, m_responseHead.reason, endToEndHeaders(m_responseHead), std::nullopt }, m_bufferedBody);
 }
 
 void ProxiedCall::onWhole()
 {
     auto self = shared_from_this();
-    if (!m_verdict.id.empty() && m_verdict.id != m_call.id) {
-        failed("the answer belongs to another request");
+    if (!m_responseMetadata.id.empty() && m_responseMetadata.id != m_call.id) {
+        fail("the answer belongs to another request");
         return;
     }
-    if (m_verdict.notRun) {
+    if (m_responseMetadata.notRun) {
         onRejected();
         return;
     }
-    if (m_head.status >= statusServerErrors || m_head.status == statusTooManyRequests) {
+    if (m_responseHead.status >= firstServerErrorStatus || m_responseHead.status == statusTooManyRequests) {
         onServerError();
         return;
     }
-    if (m_head.status < statusRedirects && !m_verdict.hasSignature) {
-        failed("the upstream does not vouch for its answer");
+    if (m_responseHead.status < firstRedirectStatus && !m_responseMetadata.hasSignature) {
+        fail("the upstream does not vouch for its answer");
         return;
     }
     bool streamed = m_phase == Phase::Delivering;
-    if (streamed && m_head.status >= statusRedirects) {
-        failed("the upstream that was to go on with the stream refused");
+    if (streamed && m_responseHead.status >= firstRedirectStatus) {
+        fail("the upstream that was to go on with the stream refused");
         return;
     }
     if (streamed && m_events.hasPartial()) {
-        failed("the stream ended within an event");
+        fail("the stream ended within an event");
         return;
     }
-    int status = m_head.status;
-    leaveUpstream();
+    int status = m_responseHead.status;
+    releaseUpstream();
     if (streamed)
-        m_caller->end();
+        m_callerExchange->end();
     else
-        deliverWhole();
+        deliverBufferedAnswer();
     finish("answered", status);
 }
 
 void ProxiedCall::onRejected()
 {
-    --m_runs;
-    m_desk.metrics().count("toucanstep_rejected_by_upstream_total");
-    base::LogLine("call_rejected").add("id", m_call.id).add("upstream", m_upstream).add("status", m_head.status).add("sends", m_sends);
-    // Turned away because the target is not there any more or not yet: another look is worth it, soon.
-    if (m_sends < mostSends && left() > shortestRun && m_desk.takeRetry(m_service, m_retries)) {
+    --m_possibleRuns;
+    m_dispatcher.metrics().count("toucanstep_rejected_by_upstream_total");
+    base::LogLine("call_rejected").add("id", m_call.id).add("upstream", m_upstream).add("status", m_responseHead.status).add("sends", m_sends);
+    // The target is no longer loaded there, or not yet, so another attempt is worthwhile.
+    if (m_sends < maxSends && timeLeft() > minRunTime && m_dispatcher.consumeRetryBudget(m_service, m_retries)) {
         ++m_retries;
-        waitAgain();
+        dispatchOrWait();
         return;
     }
     if (m_firstByte) {
-        failed("no upstream takes the stream up again");
+        fail("no upstream takes the stream up again");
         return;
     }
-    leaveUpstream();
-    refuse(statusUnavailable, "rejected", m_runs ? Ran::Maybe : Ran::No, "the upstreams have turned the call away", defaultRetryAfter);
+    releaseUpstream();
+    refuse(statusUnavailable, "rejected", m_possibleRuns ? Execution::MayHaveRun : Execution::NotRun, "the upstreams have turned the call away", defaultRetryAfter);
 }
 
-bool ProxiedCall::mayRetry()
+bool ProxiedCall::tryRetry()
 {
-    if (!m_route->mayRepeat() || m_runs >= m_route->attempts || m_sends >= mostSends || left() < shortestRun)
+    if (!m_route->mayRepeat() || m_possibleRuns >= m_route->attempts || m_sends >= maxSends || timeLeft() < minRunTime)
         return false;
-    if (!m_desk.takeRetry(m_service, m_retries))
+    if (!m_dispatcher.consumeRetryBudget(m_service, m_retries))
         return false;
     ++m_retries;
     return true;
@@ -453,20 +455,20 @@
 
 void ProxiedCall::onServerError()
 {
-    m_desk.upstreams().onFailure(m_upstream, m_desk.now());
-    if (m_phase != Phase::Delivering && mayRetry()) {
-        waitAgain();
+    m_dispatcher.upstreams().onFailure(m_upstream, m_dispatcher.now());
+    if (m_phase != Phase::Delivering && tryRetry()) {
+        dispatchOrWait();
         return;
     }
-    // 429 and 503 promise that the call has not run, which this upstream did not say.
-    bool promise = m_head.status == statusUnavailable || m_head.status == statusTooManyRequests;
-    if (promise || m_phase == Phase::Delivering) {
-        failed("the upstream failed without saying whether the call ran");
+    // 429 and 503 promise the caller that the call has not run, which this upstream did not state.
+    bool promisesNotRun = m_responseHead.status == statusUnavailable || m_responseHead.status == statusTooManyRequests;
+    if (promisesNotRun || m_phase == Phase::Delivering) {
+        fail("the upstream failed without saying whether the call ran");
         return;
     }
-    int status = m_head.status;
-    leaveUpstream();
-    deliverWhole();
+    int status = m_responseHead.status;
+    releaseUpstream();
+    deliverBufferedAnswer();
     finish("upstream_error", status);
 }
 
@@ -474,101 +476,101 @@
 {
     auto self = shared_from_this();
     if (breakage == http1::Breakage::NotSent) {
-        --m_runs;
-        m_desk.upstreams().onUnreachable(m_upstream, m_desk.now());
+        --m_possibleRuns;
+        m_dispatcher.upstreams().onUnreachable(m_upstream, m_dispatcher.now());
         base::LogLine("upstream_unreachable").add("id", m_call.id).add("upstream", m_upstream);
-        if (m_sends < mostSends && left() > shortestRun)
-            waitAgain();
+        if (m_sends < maxSends && timeLeft() > minRunTime)
+            dispatchOrWait();
         else
-            failed("no upstream can be reached");
+            fail("no upstream can be reached");
         return;
     }
-    m_desk.upstreams().onFailure(m_upstream, m_desk.now());
+    m_dispatcher.upstreams().onFailure(m_upstream, m_dispatcher.now());
     if (breakage == http1::Breakage::Broken)
-        m_desk.suspectCrash(m_upstream, m_fingerprint);
+        m_dispatcher.reportSuspectedCrash(m_upstream, m_fingerprint);
     m_events.dropPartial();
-    bool resumable = m_route->resumable && m_verdict.streaming && !m_events.lastId().empty();
-    if ((!m_firstByte || resumable) && mayRetry()) {
+    bool resumable = m_route->resumable && m_responseMetadata.streaming && !m_events.lastId().empty();
+    if ((!m_firstByte || resumable) && tryRetry()) {
         base::LogLine("call_moved").add("id", m_call.id).add("from", m_upstream).add("behind", m_events.lastId());
-        waitAgain();
+        dispatchOrWait();
         return;
     }
-    failed(breakage == http1::Breakage::Malformed ? "the upstream's answer cannot be read" : "the upstream broke off");
+    fail(breakage == http1::Breakage::Malformed ? "the upstream's answer cannot be read" : "the upstream broke off");
 }
 
 void ProxiedCall::onUpstreamSilent()
 {
-    if (!underWay() || !m_route->mayRepeat())
+    if (!inFlight() || !m_route->mayRepeat())
         return;
     m_events.dropPartial();
     bool resumable = m_route->resumable && !m_events.lastId().empty();
-    if ((m_firstByte && !resumable) || !mayRetry())
+    if ((m_firstByte && !resumable) || !tryRetry())
         return;
     base::LogLine("call_moved").add("id", m_call.id).add("from", m_upstream).add("reason", "silent");
-    waitAgain();
+    dispatchOrWait();
 }
 
-void ProxiedCall::failed(std::string_view reason)
+void ProxiedCall::fail(std::string_view reason)
 {
-    leaveUpstream();
+    releaseUpstream();
     if (m_firstByte) {
         base::LogLine("stream_cut").add("id", m_call.id).add("upstream", m_upstream).add("reason", reason);
-        m_caller->abort();
+        m_callerExchange->abort();
         finish("cut", 0);
         return;
     }
-    if (m_runs)
-        refuse(statusBadGateway, "upstream_failed", Ran::Maybe, reason);
+    if (m_possibleRuns)
+        refuse(statusBadGateway, "upstream_failed", Execution::MayHaveRun, reason);
     else
-        refuse(statusUnavailable, "upstream_unreachable", Ran::No, reason, defaultRetryAfter);
+        refuse(statusUnavailable, "upstream_unreachable", Execution::NotRun, reason, defaultRetryAfter);
 }
 
-void ProxiedCall::deadlinePassed()
+void ProxiedCall::onDeadline()
 {
     auto self = shared_from_this();
     if (m_phase == Phase::Done)
         return;
-    bool sent = underWay();
-    leaveUpstream();
+    bool sent = inFlight();
+    releaseUpstream();
     if (m_firstByte) {
-        m_caller->abort();
+        m_callerExchange->abort();
         finish("cut_at_deadline", 0);
         return;
     }
-    if (sent || m_runs)
-        refuse(statusGatewayTimeout, "deadline_exceeded", Ran::Maybe, "no answer within the time limit");
+    if (sent || m_possibleRuns)
+        refuse(statusGatewayTimeout, "deadline_exceeded", Execution::MayHaveRun, "no answer within the time limit");
     else
-        refuse(statusUnavailable, "overloaded", Ran::No, "no upstream could take the call in time", defaultRetryAfter);
+        refuse(statusUnavailable, "overloaded", Execution::NotRun, "no upstream could take the call in time", defaultRetryAfter);
 }
 
-void ProxiedCall::callerLeft()
+void ProxiedCall::onCallerGone()
 {
     auto self = shared_from_this();
     if (m_phase == Phase::Done)
         return;
-    leaveUpstream();
+    releaseUpstream();
     finish("caller_left", 0);
 }
 
-void ProxiedCall::cutOff()
+void ProxiedCall::shutDown()
 {
     auto self = shared_from_this();
     if (m_phase == Phase::Done)
         return;
-    if ((m_phase == Phase::Waiting || m_phase == Phase::Held) && !m_runs && !m_firstByte)
-        refuse(statusUnavailable, "leaving", Ran::No, "the gateway ends", defaultRetryAfter);
+    if ((m_phase == Phase::Waiting || m_phase == Phase::WaitingForTokens) && !m_possibleRuns && !m_firstByte)
+        refuse(statusUnavailable, "leaving", Execution::NotRun, "the gateway ends", defaultRetryAfter);
     else
-        failed("the gateway ends");
+        fail("the gateway ends");
 }
 
-void ProxiedCall::refuse(int status, std::string_view code, Ran ran, std::string_view message, std::optional<base::Duration> retryAfter)
+void ProxiedCall::refuse(int status, std::string_view code, Execution execution, std::string_view message, std::optional<base::Duration> retryAfter)
 {
     auto self = shared_from_this();
-    // What ran nowhere is not charged; what may have run keeps its charge, as its tokens may have been used.
-    if (ran == Ran::No && m_charged.value())
-        m_desk.limits().refund(m_account, m_charged);
-    bool promise = status == statusUnavailable || status == statusTooManyRequests;
-    if (promise && ran == Ran::Maybe) {
+    // A call that ran nowhere is refunded; one that may have run stays charged, since it may have used its tokens.
+    if (execution == Execution::NotRun && m_charged.value())
+        m_dispatcher.limits().refund(m_account, m_charged);
+    bool promisesNotRun = status == statusUnavailable || status == statusTooManyRequests;
+    if (promisesNotRun && execution == Execution::MayHaveRun) {
         status = statusBadGateway;
         retryAfter.reset();
     }
@@ -576,33 +578,33 @@
     head.status = status;
     head.headers.add("Content-Type", "application/json");
     if (retryAfter) {
-        double seconds = base::toSeconds(*retryAfter) * (1 + retrySpread * spreadOf(m_call.id));
+        double seconds = base::toSeconds(*retryAfter) * (1 + retryJitter * jitterOf(m_call.id));
         head.headers.add("Retry-After", base::concat(std::max(seconds, 0.05)));
     }
-    nlohmann::json error { { "error", { { "code", code }, { "message", message }, { "ran", ran == Ran::No ? "not_run" : "may_have_run" } } } };
-    m_caller->answer(std::move(head), error.dump());
+    nlohmann::json error { { "error", { { "code", code }, { "message", message }, { "ran", execution == Execution::NotRun ? "not_run" : "may_have_run" } } } };
+    m_callerExchange->answer(std::move(head), error.dump());
     finish(code, status);
 }
 
 void ProxiedCall::finish(std::string_view outcome, int status)
 {
     m_phase = Phase::Done;
-    if (m_held)
-        m_desk.leaveTokenQueue(*m_held);
-    m_desk.loop().cancel(m_timer);
-    base::Instant time = m_desk.now();
+    if (m_tokenQueueNumber)
+        m_dispatcher.leaveTokenQueue(*m_tokenQueueNumber);
+    m_dispatcher.loop().cancel(m_timer);
+    base::Instant time = m_dispatcher.now();
     base::LogLine line("call_ended");
     line.add("id", m_call.id).add("outcome", outcome).add("status", status);
     if (m_state)
-        line.add("version", m_state->version).add("version_age_ms", base::toMilliseconds(m_arrived - m_stateSince)).add("store_age_ms", base::toMilliseconds(m_arrived - m_lastStoreContact));
+        line.add("version", m_state->version).add("version_age_ms", base::toMilliseconds(m_arrived - m_stateAppliedAt)).add("store_age_ms", base::toMilliseconds(m_arrived - m_lastStoreContact));
     if (m_route)
         line.add("route", m_route->id).add("target_ms", base::toMilliseconds(m_route->latencyTarget));
     line.add("account", m_account).add("model", m_call.target.model).add("adapter", m_call.target.adapter).add("upstream", m_upstream).add("sends", m_sends);
-    line.add("waited_for", toText(m_waitedFor)).add("sent_ms", m_firstSent ? base::toMilliseconds(*m_firstSent - m_arrived) : -1);
+    line.add("waited_for", toText(m_firstBlockReason)).add("sent_ms", m_firstSent ? base::toMilliseconds(*m_firstSent - m_arrived) : -1);
     line.add("first_ms", m_firstByte ? base::toMilliseconds(*m_firstByte - m_arrived) : -1).add("total_ms", base::toMilliseconds(time - m_arrived));
-    m_desk.metrics().count("toucanstep_calls_total", base::concat("outcome=\"", outcome, "\""));
-    m_desk.metrics().observe("toucanstep_call_seconds", "", base::toSeconds(time - m_arrived));
-    m_desk.ended(*this);
+    m_dispatcher.metrics().count("toucanstep_calls_total", base::concat("outcome=\"", outcome, "\""));
+    m_dispatcher.metrics().observe("toucanstep_call_seconds", "", base::toSeconds(time - m_arrived));
+    m_dispatcher.onCallEnded(*this);
 }
 
 } // namespace toucanstep::direct
--- a/packages/direct/src/ProxiedCall.h
+++ b/packages/direct/src/ProxiedCall.h
@@ -1,8 +1,9 @@
-// One caller's request from its arrival to its end: checked, charged, sent to an upstream, its answer passed on.
+// One caller's request from its arrival to its end: it is validated, charged and sent to an upstream, and the answer is
+// forwarded to the caller.
 //
-// What may be repeated decides what happens after a failure. A call that may run only once is sent again only where it is
-// proved that it has not run; 429 and 503 are answered only then. A stream that may be resumed goes on at another
-// upstream behind its last whole event.
+// Failure handling depends on whether the call may be repeated. A call that may run only once is resent only if it is
+// proved that it has not run, and 429 and 503 are answered only in that case. A resumable stream continues at another
+// upstream after its last complete event.
 
 #pragma once
 
@@ -16,33 +17,33 @@
     ProxiedCall(CallDispatcher&, std::shared_ptr<http1::ServerExchange>);
     ~ProxiedCall() override;
 
-    // Checks the request and refuses it, or begins to look for an upstream.
+    // Validates the request, then refuses it, queues it for tokens or dispatches it.
     void start();
-    // Sends it to an upstream if one can take it; tells what stands in the way otherwise.
+    // Sends the call to an upstream if one can take it; returns what blocks it otherwise.
     BlockReason tryDispatch();
-    // Refuses a waiting call whose wait is of no use any more. Returns whether it did.
-    bool refuseIfHopeless(BlockReason);
-    // Refuses a call that waits and is late where more calls come than can run.
+    // Refuses a waiting call that can no longer be served in time. Returns whether it did.
+    bool refuseIfUnservable(BlockReason);
+    // Refuses a late waiting call because calls arrive faster than the upstreams can run them.
     void refuseLate();
-    // Its upstream has stopped answering: a call that may be repeated moves on.
+    // The upstream has stopped answering: a call that may be repeated moves to another one.
     void onUpstreamSilent();
-    // The process ends: the caller is told what can be said.
-    void cutOff();
-    // Its account has the tokens for it, and it is charged.
-    void onTokens();
-    // They have not come in time.
-    void onNoTokens(base::Instant expected);
+    // Ends the call because the process ends: with an error answer, or by aborting a stream that has started.
+    void shutDown();
+    // The account has been charged for the queued call.
+    void onTokensCharged();
+    // The tokens did not become available in time; they are expected at `expected`.
+    void onTokensUnavailable(base::Instant expected);
 
-    QueueClass turn() const;
+    QueueClass queueClass() const;
 
     const base::ServiceId& service() const { return m_service; }
     const ModelTarget& target() const { return m_call.target; }
-    int64_t rank() const { return m_rank; }
+    int64_t priority() const { return m_priority; }
     uint64_t waitNumber() const { return m_waitNumber; }
     void setWaitNumber(uint64_t number) { m_waitNumber = number; }
-    bool untried() const { return m_tried.empty(); }
+    bool neverSent() const { return m_triedUpstreams.empty(); }
     const base::UpstreamId& upstream() const { return m_upstream; }
-    bool underWay() const { return m_exchange != nullptr; }
+    bool inFlight() const { return m_upstreamExchange != nullptr; }
 
     void onHead(http1::ResponseHead) override;
     void onBody(std::string_view) override;
@@ -52,49 +53,48 @@
 private:
     enum class Phase {
         Checking,
-        // For its account's tokens.
-        Held,
+        WaitingForTokens,
         Waiting,
         Sent,
-        // Bytes of an answer have gone to the caller.
+        // Part of the answer has been sent to the caller.
         Delivering,
         Done,
     };
-    enum class Ran {
-        No,
-        Maybe,
+    enum class Execution {
+        NotRun,
+        MayHaveRun,
     };
 
-    // Whether the call may go on at once; otherwise it has been ended, or waits for its account's tokens.
+    // Returns whether the call may proceed at once; otherwise it has ended or waits for its account's tokens.
     bool admit();
-    bool takeTokens(const Account&);
-    void goOn();
-    bool chooseService(const Route&);
+    bool acquireTokens(const Account&);
+    void onAdmitted();
+    bool selectService(const Route&);
     void send(const base::UpstreamId&);
     std::string requestHead(const base::UpstreamId&) const;
-    void leaveUpstream();
-    void waitAgain();
+    void releaseUpstream();
+    void dispatchOrWait();
 
     void onRejected();
     void onServerError();
-    void deliverWhole();
-    void beginStream();
-    bool mayRetry();
-    void failed(std::string_view reason);
-    void deadlinePassed();
-    void callerLeft();
-
-    void refuse(int status, std::string_view code, Ran, std::string_view message, std::optional<base::Duration> retryAfter = {});
+    void deliverBufferedAnswer();
+    void startStreaming();
+    bool tryRetry();
+    void fail(std::string_view reason);
+    void onDeadline();
+    void onCallerGone();
+
+    void refuse(int status, std::string_view code, Execution, std::string_view message, std::optional<base::Duration> retryAfter = {});
     void finish(std::string_view outcome, int status);
-    base::Duration left() const;
+    base::Duration timeLeft() const;
 
-    CallDispatcher& m_desk;
-    std::shared_ptr<http1::ServerExchange> m_caller;
+    CallDispatcher& m_dispatcher;
+    std::shared_ptr<http1::ServerExchange> m_callerExchange;
     std::shared_ptr<const DesiredState> m_state;
-    // When it had come into force, and when the store had last been heard, as of the call's arrival.
-    base::Instant m_stateSince;
+    // When m_state took effect and when the store last answered, as of the call's arrival.
+    base::Instant m_stateAppliedAt;
     base::Instant m_lastStoreContact;
-    // Of m_state.
+    // Points into m_state.
     const Route* m_route = nullptr;
     CallMetadata m_call;
     base::ClientAccountId m_account;
@@ -102,32 +102,32 @@
     routing::RequestFingerprint m_fingerprint;
     base::Tokens m_cost;
     base::Tokens m_charged;
-    std::optional<QueuedCallNumber> m_held;
-    int64_t m_rank = 0;
+    std::optional<QueuedCallNumber> m_tokenQueueNumber;
+    int64_t m_priority = 0;
     uint64_t m_waitNumber = 0;
     Phase m_phase = Phase::Checking;
     base::Instant m_arrived;
     base::Instant m_deadline;
-    // Its caller leaves at this time unless the answer has begun.
-    base::Instant m_beginBy;
+    // The caller disconnects at this time unless the answer has started.
+    base::Instant m_answerStartDeadline;
     std::optional<base::Instant> m_firstByte;
-    // Why it had to wait before it was first sent, and when that was; for the log.
-    BlockReason m_waitedFor = BlockReason::None;
+    // Why the call waited before it was first sent, and when it was sent; for the log.
+    BlockReason m_firstBlockReason = BlockReason::None;
     std::optional<base::Instant> m_firstSent;
     io::EventLoop::TimerId m_timer = 0;
 
-    std::set<base::UpstreamId> m_tried;
+    std::set<base::UpstreamId> m_triedUpstreams;
     base::UpstreamId m_upstream;
-    std::unique_ptr<http1::Exchange> m_exchange;
+    std::unique_ptr<http1::Exchange> m_upstreamExchange;
     int64_t m_sends = 0;
-    // Upstreams on which it has or may have run.
-    int64_t m_runs = 0;
+    // Upstreams on which the call has run or may have run.
+    int64_t m_possibleRuns = 0;
     int64_t m_retries = 0;
 
-    http1::ResponseHead m_head;
-    ResponseMetadata m_verdict;
-    bool m_haveHead = false;
-    std::string m_body;
+    http1::ResponseHead m_responseHead;
+    ResponseMetadata m_responseMetadata;
+    bool m_receivedHead = false;
+    std::string m_bufferedBody;
     bool m_passThrough = false;
     EventSplitter m_events;
 };
--- a/packages/direct/src/QueueDiscipline.cpp
+++ b/packages/direct/src/QueueDiscipline.cpp
@@ -4,36 +4,36 @@
 
 namespace {
 
-// Late calls have been standing for this long: it is no burst that passes. Longer than the time from the first full engine
-// to another copy of its model from a disk or from host memory (0.4 to 0.9 s on the users' engines).
-constexpr auto standingAfter = std::chrono::milliseconds(1000);
+// A queue with late calls for this long is no passing burst. Longer than the time from the first full engine to another
+// replica of its model, loaded from disk or from host memory (0.4 to 0.9 s on the users' engines).
+constexpr auto standingQueueTime = std::chrono::milliseconds(1000);
 
 } // namespace
 
-QueueClass queueClassOf(bool begun, base::Instant arrived, base::Duration latencyTarget, base::Instant now)
+QueueClass queueClassOf(bool answerStarted, base::Instant arrived, base::Duration latencyTarget, base::Instant now)
 {
-    if (begun)
+    if (answerStarted)
         return QueueClass::Resuming;
-    bool mayBeLate = latencyTarget > base::Duration::zero();
-    return !mayBeLate || now < arrived + latencyTarget ? QueueClass::InTime : QueueClass::Late;
+    bool hasTarget = latencyTarget > base::Duration::zero();
+    return !hasTarget || now < arrived + latencyTarget ? QueueClass::InTime : QueueClass::Late;
 }
 
 void StandingQueueDetector::beginPass(base::Instant now)
 {
     m_now = now;
-    m_seen.clear();
+    m_lateThisPass.clear();
 }
 
-bool StandingQueueDetector::shouldRefuseLate(const QueueKey& line)
+bool StandingQueueDetector::shouldRefuseLate(const QueueKey& key)
 {
-    auto known = m_since.find(line);
-    auto since = m_seen.emplace(line, known == m_since.end() ? m_now : known->second).first;
-    return m_now - since->second > standingAfter;
+    auto earlier = m_lateSince.find(key);
+    auto since = m_lateThisPass.emplace(key, earlier == m_lateSince.end() ? m_now : earlier->second).first;
+    return m_now - since->second > standingQueueTime;
 }
 
 void StandingQueueDetector::endPass()
 {
-    m_since.swap(m_seen);
+    m_lateSince.swap(m_lateThisPass);
 }
 
 } // namespace toucanstep::direct
--- a/packages/direct/src/UpstreamSelection.cpp
+++ b/packages/direct/src/UpstreamSelection.cpp
@@ -9,51 +9,51 @@
 
 namespace {
 
-// The cost of an upstream is counted in calls whose answers have not begun. An engine reads prompts one after the other, so
-// these are what a new call waits for, while calls that are being answered run side by side.
+// The unit of an upstream's cost is one call whose answer has not started. An engine reads prompts one after the other, so a
+// new call waits for these, while calls that are being answered run concurrently.
 
-// All slots in use cost as much as this many calls: the engine's memory is short, and each step takes longer.
-constexpr double crowdWeight = 8;
-// A failure of late: two of them move calls away from an upstream that is idle.
+// Cost of having all slots in use: the engine is short of memory and each of its steps takes longer.
+constexpr double occupancyWeight = 8;
+// Cost of a recent failure: two of them move calls away even from an idle upstream.
 constexpr double failureWeight = 4;
-// An upstream that has stopped answering is used only if there is no other.
+// Cost of having stopped answering: such an upstream is used only if there is no other.
 constexpr double silentWeight = 1000;
-// Another failure domain costs bytes between domains; it decides only between upstreams that are about equally busy.
+// Cost of traffic to another failure domain; it decides only between upstreams that are about equally busy.
 constexpr double otherDomainWeight = 0.4;
-// Calls with the same beginning go to one upstream, which keeps it in its cache and need not read it again.
+// Cost of not using the preferred upstream of a prompt prefix, which has the prefix in its cache and need not read it again.
 constexpr double promptPrefixWeight = 1.5;
-// Several gateways that see the same upstreams idle must not all choose the same one: less than another domain costs.
+// Keeps gateways that see the same idle upstreams from all choosing the same one; less than the cost of another domain.
 constexpr double spreadWeight = 0.3;
 
-bool mayTake(const UpstreamEntry& entry, const UpstreamQuery& query, base::Instant now)
+bool isCandidate(const UpstreamEntry& entry, const UpstreamQuery& query, base::Instant now)
 {
     const UpstreamDescription& described = entry.description;
     return described.service == query.service && !described.draining && entry.avoidUntil <= now
         && !(query.triedUpstreams && query.triedUpstreams->contains(described.id));
 }
 
-// Of the upstreams that hold a target, the one with the lowest value is the home of a prompt's beginning: the same at
-// every gateway, and for most prompts the same after another upstream has come or gone.
-size_t homeOrder(const std::string& promptPrefix, const base::UpstreamId& upstream)
+// Rendezvous hash: of the upstreams that hold a target, the one with the lowest value is preferred for a prompt prefix. It
+// is the same at every gateway, and for most prefixes it stays the same when another upstream is added or removed.
+size_t affinityHash(const std::string& promptPrefix, const base::UpstreamId& upstream)
 {
     return std::hash<std::string> {}(promptPrefix + '/' + upstream.value());
 }
 
-double spreadOf(const std::string& spreadKey, const base::UpstreamId& upstream)
+double spreadCost(const std::string& spreadKey, const base::UpstreamId& upstream)
 {
-    return spreadWeight * static_cast<double>(homeOrder(spreadKey, upstream)) / static_cast<double>(std::numeric_limits<size_t>::max());
+    return spreadWeight * static_cast<double>(affinityHash(spreadKey, upstream)) / static_cast<double>(std::numeric_limits<size_t>::max());
 }
 
 double costOf(const UpstreamEntry& entry, const UpstreamQuery& query, base::Instant now)
 {
     auto cost = static_cast<double>(entry.awaiting());
-    cost += crowdWeight * static_cast<double>(entry.inFlight()) / static_cast<double>(entry.description.slots);
+    cost += occupancyWeight * static_cast<double>(entry.inFlight()) / static_cast<double>(entry.description.slots);
     cost += failureWeight * UpstreamTable::recentFailures(entry, now);
     if (UpstreamTable::silent(entry, now))
         cost += silentWeight;
     if (entry.description.domain != query.domain)
         cost += otherDomainWeight;
-    return cost + spreadOf(query.spreadKey, entry.description.id);
+    return cost + spreadCost(query.spreadKey, entry.description.id);
 }
 
 } // namespace
@@ -78,17 +78,17 @@
     bool anyUpstream = false;
     std::vector<const UpstreamEntry*> holders;
     for (const auto& [id, entry] : table.all()) {
-        if (!mayTake(entry, query, now))
+        if (!isCandidate(entry, query, now))
             continue;
         anyUpstream = true;
         if (!table.holds(entry, query.target, now))
             continue;
         holders.push_back(&entry);
     }
-    const UpstreamEntry* home = nullptr;
+    const UpstreamEntry* preferred = nullptr;
     if (!query.promptPrefix.empty() && !holders.empty()) {
-        home = *std::min_element(holders.begin(), holders.end(), [&](const auto* left, const auto* right) {
-            return homeOrder(query.promptPrefix, left->description.id) < homeOrder(query.promptPrefix, right->description.id);
+        preferred = *std::min_element(holders.begin(), holders.end(), [&](const auto* left, const auto* right) {
+            return affinityHash(query.promptPrefix, left->description.id) < affinityHash(query.promptPrefix, right->description.id);
         });
     }
     const UpstreamEntry* best = nullptr;
@@ -96,7 +96,7 @@
     for (const UpstreamEntry* entry : holders) {
         if (entry->inFlight() >= entry->description.slots)
             continue;
-        double cost = costOf(*entry, query, now) + (home && entry != home ? promptPrefixWeight : 0);
+        double cost = costOf(*entry, query, now) + (preferred && entry != preferred ? promptPrefixWeight : 0);
         if (!best || cost < bestCost) {
             best = entry;
             bestCost = cost;
--- a/packages/direct/test/AccountLimitsTest.cpp
+++ b/packages/direct/test/AccountLimitsTest.cpp
@@ -27,84 +27,84 @@
 
 base::InstanceId gateway(size_t number) { return base::InstanceId("gateway-" + std::to_string(number)); }
 
-// A few gateways that send each other reports over links which can be cut, and the calls that they let through.
+// Simulates gateways that send each other reports over links that can be cut, and records the calls that they admit.
 class Fleet {
 public:
     Fleet(size_t size, int64_t rate, int64_t burst)
-        : m_state(stateWith(rate, burst))
+        : m_desiredState(stateWith(rate, burst))
     {
         for (size_t number = 0; number < size; ++number) {
             m_limits.emplace_back(AccountLimitsSettings {});
-            m_cut.push_back(false);
+            m_isolated.push_back(false);
             m_incarnations.push_back(1);
         }
         for (size_t number = 0; number < size; ++number)
-            begin(number);
+            startGateway(number);
     }
 
     base::Instant now() const { return m_now; }
-    void setCut(size_t number, bool cut) { m_cut[number] = cut; }
-    // What `from` sends does not reach `to`.
-    void setLinkCut(size_t from, size_t to, bool cut)
+    void setIsolated(size_t number, bool isolated) { m_isolated[number] = isolated; }
+    // Cuts or restores only the direction from `from` to `to`.
+    void setLinkCut(size_t from, size_t to, bool isCut)
     {
-        if (cut)
+        if (isCut)
             m_cutLinks.emplace(from, to);
         else
             m_cutLinks.erase({ from, to });
     }
-    // `unknown`: a gateway that the new process has never heard of; none if it is not a number of one.
+    // `unknown` is a gateway that is missing from the new process's gateway list; by default none is.
     void restart(size_t number, size_t unknown = std::numeric_limits<size_t>::max())
     {
         m_limits[number] = AccountLimits(AccountLimitsSettings {});
         ++m_incarnations[number];
-        begin(number, unknown);
+        startGateway(number, unknown);
     }
-    int64_t passed() const
+    int64_t admittedCost() const
     {
-        return std::accumulate(m_passed.begin(), m_passed.end(), int64_t(0), [](int64_t sum, const auto& call) { return sum + call.second; });
+        return std::accumulate(m_admitted.begin(), m_admitted.end(), int64_t(0), [](int64_t sum, const auto& call) { return sum + call.second; });
     }
     bool call(size_t number, int64_t cost)
     {
         if (m_limits[number].charge(farm, Tokens(cost), m_now))
             return false;
-        m_passed.emplace_back(m_now, cost);
+        m_admitted.emplace_back(m_now, cost);
         return true;
     }
-    // 100 ms pass, and everyone reports.
+    // Advances the time by 100 ms and delivers every gateway's report.
     void step()
     {
         m_now += std::chrono::milliseconds(100);
         for (size_t from = 0; from < m_limits.size(); ++from) {
             for (size_t to = 0; to < m_limits.size(); ++to) {
-                if (from != to && !m_cut[from] && !m_cut[to] && !m_cutLinks.contains({ from, to }))
+                if (from != to && !m_isolated[from] && !m_isolated[to] && !m_cutLinks.contains({ from, to }))
                     m_limits[to].onReport(gateway(from), m_limits[from].report(Incarnation(m_incarnations[from]), m_now), m_now);
             }
         }
     }
-    // The most that passed in any span of that length.
-    int64_t mostIn(base::Duration span) const
+    // The largest admitted cost within any interval of that length.
+    int64_t maxAdmittedWithin(base::Duration span) const
     {
-        int64_t most = 0;
+        int64_t maximum = 0;
         int64_t sum = 0;
         std::deque<std::pair<base::Instant, int64_t>> window;
-        for (const auto& call : m_passed) {
+        for (const auto& call : m_admitted) {
             window.push_back(call);
             sum += call.second;
             while (call.first - window.front().first > span) {
                 sum -= window.front().second;
                 window.pop_front();
             }
-            most = std::max(most, sum);
+            maximum = std::max(maximum, sum);
         }
-        return most;
+        return maximum;
     }
     AccountLimits& limits(size_t number) { return m_limits[number]; }
 
 private:
-    void begin(size_t number, size_t unknown = std::numeric_limits<size_t>::max())
+    void startGateway(size_t number, size_t unknown = std::numeric_limits<size_t>::max())
     {
         m_limits[number].setSelf(gateway(number), m_now);
-        m_limits[number].setAccounts(m_state, m_now);
+        m_limits[number].setAccounts(m_desiredState, m_now);
         std::set<base::InstanceId> peers;
         for (size_t other = 0; other < m_limits.size(); ++other) {
             if (other != number && other != unknown)
@@ -113,32 +113,32 @@
         m_limits[number].setPeers(peers, m_now);
     }
 
-    DesiredState m_state;
+    DesiredState m_desiredState;
     base::Instant m_now { std::chrono::hours(1) };
     std::vector<AccountLimits> m_limits;
-    std::vector<bool> m_cut;
+    std::vector<bool> m_isolated;
     std::set<std::pair<size_t, size_t>> m_cutLinks;
     std::vector<int64_t> m_incarnations;
-    std::vector<std::pair<base::Instant, int64_t>> m_passed;
+    std::vector<std::pair<base::Instant, int64_t>> m_admitted;
 };
 
 constexpr int64_t rate = 1000;
 constexpr int64_t burst = 1000;
 constexpr auto window = std::chrono::seconds(8);
-// Rate and burst over the window, a tenth more, and what the gateways may let through before they hear of each other.
+// Rate and burst over the window plus 10 %, and what the gateways may admit before they hear each other.
 constexpr int64_t allowed = (8 * rate + burst) * 11 / 10 + 2 * rate;
 
 } // namespace
 
 TEST_GROUP(AccountLimits) {};
 
-TEST(AccountLimits, AnAccountWithoutALimitIsNeverHeldBack)
+TEST(AccountLimits, AnAccountWithoutALimitIsNeverRefused)
 {
     AccountLimits limits(AccountLimitsSettings {});
     CHECK_FALSE(limits.charge(farm, Tokens(1'000'000), base::Instant()).has_value());
 }
 
-TEST(AccountLimits, ARefusalSaysWhenTheTokensWillBeThere)
+TEST(AccountLimits, ARefusalStatesWhenTheTokensAreExpected)
 {
     Fleet fleet(1, rate, burst);
     for (int count = 0; count < 20; ++count)
@@ -149,7 +149,7 @@
     LONGS_EQUAL(500, base::toMilliseconds(*retryAt - fleet.now()));
 }
 
-TEST(AccountLimits, ACallAboveTheWholeBurstPassesAFullBucketAndIsOwed)
+TEST(AccountLimits, ACallLargerThanTheBurstIsAdmittedByAFullBucketAndLeavesItNegative)
 {
     Fleet fleet(1, rate, burst);
     for (int count = 0; count < 20; ++count)
@@ -158,7 +158,7 @@
     CHECK_FALSE(fleet.call(0, 1));
 }
 
-TEST(AccountLimits, WhatDidNotRunIsGivenBack)
+TEST(AccountLimits, CallsThatDidNotRunAreRefunded)
 {
     Fleet fleet(1, rate, burst);
     for (int count = 0; count < 20; ++count)
@@ -168,7 +168,7 @@
     CHECK_TRUE(fleet.call(0, 1000));
 }
 
-TEST(AccountLimits, OneAccountsFloodAtEveryGatewayStaysWithinItsLimit)
+TEST(AccountLimits, AnAccountFloodingEveryGatewayStaysWithinItsLimit)
 {
     Fleet fleet(4, rate, burst);
     for (int count = 0; count < 200; ++count) {
@@ -178,14 +178,15 @@
         }
         fleet.step();
     }
-    CHECK_TRUE(fleet.mostIn(window) <= allowed);
-    // And it gets what it may have.
-    CHECK_TRUE(fleet.mostIn(window) >= 8 * rate);
+    CHECK_TRUE(fleet.maxAdmittedWithin(window) <= allowed);
+    // The account also gets the rate that it is entitled to.
+    CHECK_TRUE(fleet.maxAdmittedWithin(window) >= 8 * rate);
 }
 
-TEST(AccountLimits, AFleetThatStartsAgainGivesNoSecondBurst)
+TEST(AccountLimits, ARestartedFleetGrantsNoSecondBurst)
 {
-    // An account would get more than its rate and burst: all gateways are killed at once, and each starts with a full bucket.
+    // Guards against buckets that start full: after all gateways were killed at once, an account would get more than its rate
+    // and burst.
     Fleet fleet(4, rate, burst);
     auto flood = [&](int steps) {
         for (int count = 0; count < steps; ++count) {
@@ -200,12 +201,13 @@
     for (size_t number = 0; number < 4; ++number)
         fleet.restart(number);
     flood(50);
-    CHECK_TRUE(fleet.mostIn(window) <= allowed);
+    CHECK_TRUE(fleet.maxAdmittedWithin(window) <= allowed);
 }
 
-// One account floods the fleet while half of the gateways are cut off, each on its own. Until they noticed, each filled its
-// bucket at the whole rate and heard of nobody's charges, so the account got as many times its rate as there were parts.
-TEST(AccountLimits, GatewaysThatAreCutOffAtOnceSpendNoMoreThanTheirParts)
+// Guards against overspending before a partition is detected. One account floods the fleet while half of the gateways are
+// isolated, each on its own. Until they noticed, each refilled its bucket at the whole rate without its peers' charges, so the
+// account got its rate once per partition.
+TEST(AccountLimits, GatewaysIsolatedAtOnceSpendNoMoreThanTheirShares)
 {
     constexpr size_t size = 24;
     constexpr int64_t cost = 5;
@@ -221,19 +223,20 @@
     };
     flood(60);
     for (size_t number = 0; number < size / 2; ++number)
-        fleet.setCut(number, true);
+        fleet.setIsolated(number, true);
     flood(30);
     for (size_t number = 0; number < size / 2; ++number)
-        fleet.setCut(number, false);
+        fleet.setIsolated(number, false);
     flood(30);
-    // What is within the limit passes all the same.
-    CHECK_TRUE(fleet.mostIn(window) >= 7 * rate);
-    CHECK_TRUE(fleet.mostIn(window) <= (8 * rate + burst) * 11 / 10);
+    // Calls within the limit are still admitted.
+    CHECK_TRUE(fleet.maxAdmittedWithin(window) >= 7 * rate);
+    CHECK_TRUE(fleet.maxAdmittedWithin(window) <= (8 * rate + burst) * 11 / 10);
 }
 
-// One account floods three gateways while the first is cut off from the other two, and all still hear the fourth. The two
-// sides did not hear each other, and both spent the fourth one's part of the rate, so the account got a quarter more.
-TEST(AccountLimits, GatewaysThatDoNotHearEachOtherDoNotBothSpendThePartOfOneThatBothHear)
+// Guards against spending a share twice in a partial partition. One account floods three gateways while the first cannot
+// communicate with the other two, and all still hear the fourth. Both sides spent the fourth gateway's share of the rate, so
+// the account got a quarter more.
+TEST(AccountLimits, GatewaysThatDoNotHearEachOtherDoNotBothSpendTheShareOfOneThatBothHear)
 {
     Fleet fleet(4, rate, burst);
     auto flood = [&](int steps) {
@@ -245,10 +248,10 @@
             fleet.step();
         }
     };
-    auto divide = [&](bool cut) {
+    auto divide = [&](bool isCut) {
         for (size_t other : { 1, 2 }) {
-            fleet.setLinkCut(0, other, cut);
-            fleet.setLinkCut(other, 0, cut);
+            fleet.setLinkCut(0, other, isCut);
+            fleet.setLinkCut(other, 0, isCut);
         }
     };
     for (int step = 0; step < 30; ++step)
@@ -258,13 +261,13 @@
     flood(80);
     divide(false);
     flood(60);
-    CHECK_TRUE(fleet.mostIn(window) >= 7 * rate);
-    CHECK_TRUE(fleet.mostIn(window) <= (8 * rate + burst) * 11 / 10);
+    CHECK_TRUE(fleet.maxAdmittedWithin(window) >= 7 * rate);
+    CHECK_TRUE(fleet.maxAdmittedWithin(window) <= (8 * rate + burst) * 11 / 10);
 }
 
-// Links are cut one by one, in one direction or both, and come back, while one account floods every gateway. Whoever hears
-// whom, the parts of the rate that are spent add up to no more than the whole.
-TEST(AccountLimits, NoPatternOfCutLinksPassesMoreThanTheLimit)
+// Links are cut and restored one by one, in one direction or both, while one account floods every gateway. Whichever
+// gateways hear each other, the shares that are spent add up to no more than the whole rate.
+TEST(AccountLimits, NoPatternOfCutLinksAdmitsMoreThanTheLimit)
 {
     CHECK_PROPERTY([] {
         constexpr size_t size = 5;
@@ -277,39 +280,40 @@
                 fleet.setLinkCut(from, to, event < 2);
             if (event < 3)
                 fleet.setLinkCut(to, from, event < 2);
-            for (size_t gate = 0; gate < size; ++gate) {
+            for (size_t index = 0; index < size; ++index) {
                 bool asked = *rc::gen::inRange(0, 3) > 0;
                 for (int call = 0; call < 10 && asked; ++call)
-                    fleet.call(gate, 10);
+                    fleet.call(index, 10);
             }
             fleet.step();
         }
-        RC_ASSERT(fleet.mostIn(window) <= (8 * rate + burst) * 11 / 10 + rate / 2);
+        RC_ASSERT(fleet.maxAdmittedWithin(window) <= (8 * rate + burst) * 11 / 10 + rate / 2);
     });
 }
 
-// A gateway was removed for good and another one came. The new one had never heard of the old one, which the others took for a
-// gateway that it might hear, so none of them shared its part: callers were refused with half of their account's rate unused.
-TEST(AccountLimits, ANewGatewaysPartIsSharedAlthoughItDoesNotKnowOfOneThatIsGone)
+// Guards against an unused share after a gateway is replaced. The new gateway did not know the removed one and so did not
+// report it as silent. The others assumed that it might hear it and did not spend its share: callers were refused with half of
+// their account's rate unused.
+TEST(AccountLimits, ANewGatewaysShareIsSpentAlthoughItDoesNotKnowARemovedOne)
 {
     Fleet fleet(5, rate, burst);
-    fleet.setCut(4, true);
+    fleet.setIsolated(4, true);
     fleet.restart(3, 4);
     for (int step = 0; step < 20; ++step)
         fleet.step();
-    int64_t before = fleet.passed();
+    int64_t before = fleet.admittedCost();
     for (int step = 0; step < 60; ++step) {
         for (int call = 0; call < 40; ++call)
             fleet.call(0, 5);
         fleet.step();
     }
-    // Four fifths: the part of the one that is gone is kept for it.
-    CHECK_TRUE(fleet.passed() - before >= 6 * rate * 75 / 100);
+    // Four fifths of the rate: the share of the removed gateway stays reserved for it.
+    CHECK_TRUE(fleet.admittedCost() - before >= 6 * rate * 75 / 100);
 }
 
-// A gateway was stopped and started again, as all are in turn when a version is rolled out. Callers whose account had used
-// nothing for seconds were refused there for being over its rate, since the new process began with empty buckets.
-TEST(AccountLimits, AGatewayThatStartsBesideOthersTakesOverWhatTheBucketsHold)
+// Guards against refusals after a single restart, as in a rolling update. Callers whose account had used nothing for seconds
+// were refused as over the rate, because the new process started with empty buckets.
+TEST(AccountLimits, AGatewayThatStartsBesideOthersAdoptsTheirBalances)
 {
     Fleet fleet(4, rate, burst);
     for (int step = 0; step < 30; ++step)
@@ -319,33 +323,33 @@
     fleet.step();
     CHECK_TRUE(fleet.call(0, burst * 9 / 10));
     fleet.step();
-    // What it spent counts at the others as before.
+    // The other gateways still deduct what it spent.
     CHECK_FALSE(fleet.call(1, burst * 6 / 10));
 }
 
-TEST(AccountLimits, NoHistoryOfCutsAndRestartsPassesMoreThanTheLimit)
+TEST(AccountLimits, NoSequenceOfCutsAndRestartsAdmitsMoreThanTheLimit)
 {
     CHECK_PROPERTY([] {
         Fleet fleet(4, rate, burst);
         for (int count = 0; count < 150; ++count) {
             int event = *rc::gen::inRange(0, 40);
             size_t number = *rc::gen::inRange<size_t>(0, 4);
-            // One gateway at a time is cut off: with more, the parts' first 350 ms add up.
+            // Only one gateway is isolated at a time: with more, what each spends in its first 350 ms would add up.
             if (event == 0) {
                 for (size_t other = 0; other < 4; ++other)
-                    fleet.setCut(other, other == number);
+                    fleet.setIsolated(other, other == number);
             } else if (event == 1) {
                 for (size_t other = 0; other < 4; ++other)
-                    fleet.setCut(other, false);
+                    fleet.setIsolated(other, false);
             } else if (event == 2) {
                 fleet.restart(number);
             }
-            for (size_t gate = 0; gate < 4; ++gate) {
+            for (size_t index = 0; index < 4; ++index) {
                 for (int call = 0; call < 10; ++call)
-                    fleet.call(gate, 40);
+                    fleet.call(index, 40);
             }
             fleet.step();
         }
-        RC_ASSERT(fleet.mostIn(window) <= allowed);
+        RC_ASSERT(fleet.maxAdmittedWithin(window) <= allowed);
     });
 }
--- a/packages/direct/test/CrashDetectorTest.cpp
+++ b/packages/direct/test/CrashDetectorTest.cpp
@@ -11,31 +11,32 @@
 constexpr auto millisecond = std::chrono::milliseconds(1);
 const base::UpstreamId engine("e");
 
-SuspectedCrash suspicion(const char* fingerprint = "f") { return { engine, StartMark(1), routing::RequestFingerprint(fingerprint), start }; }
+SuspectedCrash suspectedCrash(const char* fingerprint = "f") { return { engine, StartMark(1), routing::RequestFingerprint(fingerprint), start }; }
 
 } // namespace
 
 TEST_GROUP(CrashDetector)
 {
-    CrashDetector evidence;
+    CrashDetector detector;
 };
 
-// Every call of an account to one path was refused as quarantined for a minute (soak, seeds 138 and 156): its requests are
-// alike, something between had reset the connections to two engines, and both counted as crashes that the request had caused.
-TEST(CrashDetector, AnUpstreamThatIsHeardAfterAResetHasNotCrashed)
+// Guards against quarantining a request after network resets (soak seeds 138 and 156). The connections to two engines were
+// reset, both resets counted as crashes caused by the request, and all calls of the account to that path, which are alike,
+// were refused for a minute.
+TEST(CrashDetector, AnUpstreamHeardAfterAResetHasNotCrashed)
 {
-    evidence.onBroken(suspicion());
-    evidence.onHeard(engine, start + 200 * millisecond);
-    CHECK_TRUE(evidence.takeConfirmed(start + 600 * millisecond).empty());
+    detector.onConnectionLost(suspectedCrash());
+    detector.onHeard(engine, start + 200 * millisecond);
+    CHECK_TRUE(detector.takeConfirmed(start + 600 * millisecond).empty());
 }
 
 TEST(CrashDetector, AnUpstreamThatStaysSilentHasCrashed)
 {
-    evidence.onBroken(suspicion());
-    evidence.onHeard(base::UpstreamId("another"), start + 200 * millisecond);
-    // Sent before the crash, and only now arrived.
-    evidence.onHeard(engine, start + 10 * millisecond);
-    CHECK_TRUE(evidence.takeConfirmed(start + 400 * millisecond).empty());
-    UNSIGNED_LONGS_EQUAL(1, evidence.takeConfirmed(start + 600 * millisecond).size());
-    CHECK_TRUE(evidence.takeConfirmed(start + 700 * millisecond).empty());
+    detector.onConnectionLost(suspectedCrash());
+    detector.onHeard(base::UpstreamId("another"), start + 200 * millisecond);
+    // Sent before the crash and received after it.
+    detector.onHeard(engine, start + 10 * millisecond);
+    CHECK_TRUE(detector.takeConfirmed(start + 400 * millisecond).empty());
+    UNSIGNED_LONGS_EQUAL(1, detector.takeConfirmed(start + 600 * millisecond).size());
+    CHECK_TRUE(detector.takeConfirmed(start + 700 * millisecond).empty());
 }
--- a/packages/direct/test/QueueDisciplineTest.cpp
+++ b/packages/direct/test/QueueDisciplineTest.cpp
@@ -14,55 +14,55 @@
 constexpr base::Instant start { std::chrono::hours(1) };
 constexpr auto step = std::chrono::milliseconds(25);
 constexpr auto latencyTarget = std::chrono::milliseconds(300);
-constexpr auto patience = std::chrono::seconds(2);
-const QueueKey line { base::ServiceId("engines"), { base::ModelId("m"), AdapterId() } };
+constexpr auto callerPatience = std::chrono::seconds(2);
+const QueueKey queueKey { base::ServiceId("engines"), { base::ModelId("m"), AdapterId() } };
 
 struct Overload {
     int64_t servedInTime = 0;
     int64_t refused = 0;
-    int64_t left = 0;
-    base::Duration longestUntilRefused {};
+    int64_t disconnected = 0;
+    base::Duration longestWaitBeforeRefusal {};
 };
 
-struct Waiting {
+struct WaitingCall {
     base::Instant arrived;
     uint64_t number;
 };
 
-// For ten seconds a call comes every 25 ms, and the engines take one of them every 50 ms; callers leave after two seconds.
-Overload replayOverload(bool inTurn)
+// For ten seconds a call arrives every 25 ms and the engines take one every 50 ms; callers disconnect after two seconds.
+Overload simulateOverload(bool byQueueClass)
 {
     Overload result;
-    StandingQueueDetector standing;
-    std::vector<Waiting> calls;
+    StandingQueueDetector standingQueues;
+    std::vector<WaitingCall> calls;
     for (int64_t tick = 0; tick < 400; ++tick) {
         base::Instant now = start + tick * step;
         calls.push_back({ now, static_cast<uint64_t>(tick) });
-        std::erase_if(calls, [&](const Waiting& call) {
-            bool leaves = now - call.arrived >= patience;
-            result.left += leaves ? 1 : 0;
-            return leaves;
+        std::erase_if(calls, [&](const WaitingCall& call) {
+            bool disconnects = now - call.arrived >= callerPatience;
+            result.disconnected += disconnects ? 1 : 0;
+            return disconnects;
         });
-        auto placeOf = [&](const Waiting& call) {
-            auto turn = inTurn ? queueClassOf(false, call.arrived, latencyTarget, now) : QueueClass::InTime;
-            return QueuePosition { 0, turn, call.number };
+        auto positionOf = [&](const WaitingCall& call) {
+            auto queueClass = byQueueClass ? queueClassOf(false, call.arrived, latencyTarget, now) : QueueClass::InTime;
+            return QueuePosition { 0, queueClass, call.number };
         };
-        std::sort(calls.begin(), calls.end(), [&](const Waiting& left, const Waiting& right) { return placeOf(left) < placeOf(right); });
+        std::sort(calls.begin(), calls.end(), [&](const WaitingCall& left, const WaitingCall& right) { return positionOf(left) < positionOf(right); });
         if (tick % 2) {
             result.servedInTime += now < calls.front().arrived + latencyTarget ? 1 : 0;
             calls.erase(calls.begin());
         }
-        if (!inTurn)
+        if (!byQueueClass)
             continue;
-        standing.beginPass(now);
-        std::erase_if(calls, [&](const Waiting& call) {
-            bool refused = placeOf(call).turn == QueueClass::Late && standing.shouldRefuseLate(line);
+        standingQueues.beginPass(now);
+        std::erase_if(calls, [&](const WaitingCall& call) {
+            bool refused = positionOf(call).queueClass == QueueClass::Late && standingQueues.shouldRefuseLate(queueKey);
             if (refused)
-                result.longestUntilRefused = std::max<base::Duration>(result.longestUntilRefused, now - call.arrived);
+                result.longestWaitBeforeRefusal = std::max<base::Duration>(result.longestWaitBeforeRefusal, now - call.arrived);
             result.refused += refused ? 1 : 0;
             return refused;
         });
-        standing.endPass();
+        standingQueues.endPass();
     }
     return result;
 }
@@ -71,55 +71,57 @@
 
 TEST_GROUP(QueueDiscipline) {};
 
-// Twice as many callers came for one model as its engines could run, for seconds. Each waited in line until it was late, the
-// engines ran late calls only, and half of the callers left after two seconds without a word.
-TEST(QueueDiscipline, UnderOverloadTheEnginesRunCallsThatAreInTime)
+// Guards against overload in FIFO order. For seconds, twice as many calls arrived for one model as its engines could run.
+// Each call waited until it was late, the engines ran only late calls, and half of the callers disconnected after two seconds
+// without an answer.
+TEST(QueueDiscipline, UnderOverloadEnginesRunCallsThatAreInTime)
 {
-    Overload firstInFirstOut = replayOverload(false);
-    Overload inTurn = replayOverload(true);
+    Overload firstInFirstOut = simulateOverload(false);
+    Overload byQueueClass = simulateOverload(true);
     CHECK_TRUE(firstInFirstOut.servedInTime < 40);
-    CHECK_TRUE(firstInFirstOut.left > 100);
-    CHECK_TRUE(inTurn.servedInTime > 180);
-    LONGS_EQUAL(0, inTurn.left);
-    CHECK_TRUE(inTurn.refused > 100);
-    CHECK_TRUE(inTurn.longestUntilRefused < patience);
+    CHECK_TRUE(firstInFirstOut.disconnected > 100);
+    CHECK_TRUE(byQueueClass.servedInTime > 180);
+    LONGS_EQUAL(0, byQueueClass.disconnected);
+    CHECK_TRUE(byQueueClass.refused > 100);
+    CHECK_TRUE(byQueueClass.longestWaitBeforeRefusal < callerPatience);
 }
 
-TEST(QueueDiscipline, AStreamThatHasBegunGoesFirstAndALateCallLast)
+TEST(QueueDiscipline, AStartedStreamGoesFirstAndALateCallLast)
 {
-    QueuePosition begun { 1, queueClassOf(true, start, latencyTarget, start + patience), 3 };
+    QueuePosition started { 1, queueClassOf(true, start, latencyTarget, start + callerPatience), 3 };
     QueuePosition inTime { 1, queueClassOf(false, start, latencyTarget, start), 2 };
     QueuePosition late { 1, queueClassOf(false, start, latencyTarget, start + latencyTarget), 1 };
-    CHECK_TRUE(begun < inTime);
+    CHECK_TRUE(started < inTime);
     CHECK_TRUE(inTime < late);
-    CHECK_TRUE(queueClassOf(false, start, {}, start + patience) == QueueClass::InTime);
-    // A more urgent rank goes before all of them.
-    CHECK_TRUE((QueuePosition { 0, QueueClass::Late, 9 }) < begun);
+    CHECK_TRUE(queueClassOf(false, start, {}, start + callerPatience) == QueueClass::InTime);
+    // A more urgent priority goes before all of them.
+    CHECK_TRUE((QueuePosition { 0, QueueClass::Late, 9 }) < started);
 }
 
-TEST(QueueDiscipline, AShortBurstRefusesNobody)
+TEST(QueueDiscipline, AShortBurstCausesNoRefusals)
 {
-    StandingQueueDetector standing;
-    for (int look = 0; look < 9; ++look) {
-        standing.beginPass(start + look * std::chrono::milliseconds(100));
-        CHECK_FALSE(standing.shouldRefuseLate(line));
-        standing.endPass();
+    StandingQueueDetector standingQueues;
+    for (int pass = 0; pass < 9; ++pass) {
+        standingQueues.beginPass(start + pass * std::chrono::milliseconds(100));
+        CHECK_FALSE(standingQueues.shouldRefuseLate(queueKey));
+        standingQueues.endPass();
     }
-    // The line was empty in between.
-    standing.beginPass(start + std::chrono::milliseconds(900));
-    standing.endPass();
-    standing.beginPass(start + std::chrono::milliseconds(1500));
-    CHECK_FALSE(standing.shouldRefuseLate(line));
+    // The queue was empty in this pass.
+    standingQueues.beginPass(start + std::chrono::milliseconds(900));
+    standingQueues.endPass();
+    standingQueues.beginPass(start + std::chrono::milliseconds(1500));
+    CHECK_FALSE(standingQueues.shouldRefuseLate(queueKey));
 }
 
-// A model was loaded nowhere for eleven seconds although a disk had it: its callers were refused as soon as they came, since
-// no load was expected in their time, so nobody waited, and the planner evicts and loads only for callers who wait.
-TEST(QueueDiscipline, CallersThatAreRefusedAtOnceStillCountForThePlanner)
+// Guards against a model that stays unloaded because its callers are refused at once. A model that was on a disk was loaded
+// nowhere for eleven seconds: no load was expected within its callers' time, so they were refused on arrival and none waited,
+// and the planner evicts and loads only for waiting callers.
+TEST(QueueDiscipline, CallsRefusedAtOnceStillCountAsDemand)
 {
     DemandTracker demand;
     ModelTarget target { base::ModelId("m"), AdapterId() };
     demand.onArrival(target, start);
-    demand.onRefused(target, start + patience);
+    demand.onRefused(target, start + callerPatience);
     LONGS_EQUAL(1, demand.summary(start + latencyTarget).front().waiting);
-    LONGS_EQUAL(0, demand.summary(start + patience).front().waiting);
+    LONGS_EQUAL(0, demand.summary(start + callerPatience).front().waiting);
 }
