--- /dev/null
+++ b/packages/direct/include/toucanstep/direct/UpstreamSelection.h
@@ -0,0 +1,44 @@
+// Selects the upstream for a call, or reports why none can take it.
+
+#pragma once
+
+#include "toucanstep/direct/UpstreamTable.h"
+
+#include <set>
+#include <string>
+#include <string_view>
+
+namespace toucanstep::direct {
+
+struct UpstreamQuery {
+    base::ServiceId service;
+    ModelTarget target;
+    // Upstreams that the call has already been sent to; they are not selected again.
+    const std::set<base::UpstreamId>* triedUpstreams = nullptr;
+    // The gateway's own failure domain.
+    base::FailureDomain domain;
+    // Calls with an equal value share the beginning of their prompts; empty without a prompt.
+    std::string promptPrefix;
+    // Unique to the call: spreads calls among equally busy upstreams.
+    std::string spreadKey;
+};
+
+enum class BlockReason {
+    None,
+    // No upstream of the service can take calls.
+    NoUpstream,
+    NotLoaded,
+    // All slots are in use at each upstream that could run it.
+    Full,
+};
+
+std::string_view toText(BlockReason);
+
+struct UpstreamSelection {
+    BlockReason blockReason = BlockReason::None;
+    base::UpstreamId upstream;
+};
+
+UpstreamSelection selectUpstream(const UpstreamTable&, const UpstreamQuery&, base::Instant now);
+
+} // namespace toucanstep::direct
--- /dev/null
+++ b/packages/direct/src/CallDispatcher.cpp
@@ -0,0 +1,267 @@
+#include "CallDispatcher.h"
+
+#include "ProxiedCall.h"
+#include "toucanstep/base/Text.h"
+
+#include <tuple>
+
+namespace toucanstep::direct {
+
+namespace {
+
+// Waiting calls are processed in batches, this long after the first event that may unblock one.
+constexpr auto queuePassDelay = std::chrono::milliseconds(2);
+// Strikes are sent to the peers repeatedly for this long, since datagrams may be lost.
+constexpr auto strikeRepeatTime = std::chrono::seconds(2);
+// The planner reports several times a second; without a report for this long it counts as absent.
+constexpr auto plannerReportLifetime = std::chrono::milliseconds(1500);
+// A request that crashes upstreams is repeated by its caller within seconds; strikes that last a day would block harmless
+// requests.
+constexpr auto strikeLifetime = std::chrono::seconds(60);
+
+routing::QuarantineSettings quarantineSettings()
+{
+    routing::QuarantineSettings settings;
+    settings.strikeLifetime = strikeLifetime;
+    return settings;
+}
+
+} // namespace
+
+CallDispatcher::CallDispatcher(io::EventLoop& loop, http1::Client& client, const WireFormat& format, base::MetricsRegistry& metrics, CallDispatcherSettings settings)
+    : m_loop(loop)
+    , m_client(client)
+    , m_format(format)
+    , m_metrics(metrics)
+    , m_settings(std::move(settings))
+    , m_limits(AccountLimitsSettings {})
+    , m_quarantine(quarantineSettings())
+{
+}
+
+CallDispatcher::~CallDispatcher()
+{
+    shutDownAll();
+    m_loop.cancel(m_queuePassTimer);
+    m_loop.cancel(m_tokenTimer);
+}
+
+void CallDispatcher::shutDownAll()
+{
+    auto calls = m_activeCalls;
+    for (const auto& call : calls)
+        call->shutDown();
+}
+
+void CallDispatcher::onRequest(std::shared_ptr<http1::ServerExchange> exchange)
+{
+    auto call = std::make_shared<ProxiedCall>(*this, std::move(exchange));
+    m_activeCalls.insert(call);
+    call->start();
+}
+
+void CallDispatcher::onUnreadable(int status)
+{
+    m_metrics.count("toucanstep_unreadable_requests_total", base::concat("status=\"", status, "\""));
+}
+
+void CallDispatcher::setDesiredState(std::shared_ptr<const DesiredState> state)
+{
+    m_state = std::move(state);
+    m_stateAppliedAt = now();
+    m_limits.setAccounts(*m_state, now());
+    wakeWaiting();
+}
+
+void CallDispatcher::setExpectedLoads(const std::vector<ExpectedLoad>& loads)
+{
+    m_expectedLoads.clear();
+    for (const auto& load : loads)
+        m_expectedLoads[load.target] = now() + load.in;
+}
+
+std::optional<base::Instant> CallDispatcher::expectedLoad(const ModelTarget& target) const
+{
+    auto found = m_expectedLoads.find({ target.model, AdapterId() });
+    if (found == m_expectedLoads.end())
+        return std::nullopt;
+    return found->second;
+}
+
+bool CallDispatcher::plannerActive() const
+{
+    return m_lastPlannerReport && now() - *m_lastPlannerReport < plannerReportLifetime;
+}
+
+TokenQueue::Decision CallDispatcher::acquireTokens(const std::shared_ptr<ProxiedCall>& call, const base::ClientAccountId& account, base::Tokens cost, base::Instant maxWaitUntil)
+{
+    TokenQueue::Decision decision = m_tokenQueue.chargeOrQueue(m_limits, account, cost, maxWaitUntil, now());
+    if (decision.result == TokenResult::Queued) {
+        m_awaitingTokens.emplace(decision.number, call);
+        if (!m_tokenTimer)
+            m_tokenTimer = m_loop.at(decision.expected, [this] { processTokenQueue(); });
+    }
+    return decision;
+}
+
+void CallDispatcher::leaveTokenQueue(QueuedCallNumber number)
+{
+    m_tokenQueue.remove(number);
+    m_awaitingTokens.erase(number);
+}
+
+void CallDispatcher::processTokenQueue()
+{
+    m_loop.cancel(m_tokenTimer);
+    m_tokenTimer = 0;
+    for (const auto& due : m_tokenQueue.takeDue(m_limits, now())) {
+        auto waitingCall = m_awaitingTokens.extract(due.number);
+        if (waitingCall.empty())
+            continue;
+        if (due.charged)
+            waitingCall.mapped()->onTokensCharged();
+        else
+            waitingCall.mapped()->onTokensUnavailable(due.expected);
+    }
+    // Keeps the timer from firing at once, again and again, while the bucket is short of a fraction of a token.
+    constexpr auto minTimerDelay = std::chrono::milliseconds(2);
+    if (auto next = m_tokenQueue.nextDue(m_limits, now()))
+        m_tokenTimer = m_loop.at(std::max(*next, now() + minTimerDelay), [this] { processTokenQueue(); });
+}
+
+void CallDispatcher::enqueue(const std::shared_ptr<ProxiedCall>& call)
+{
+    call->setWaitNumber(++m_lastWaitNumber);
+    m_waiting.emplace(call->waitNumber(), call);
+    m_demand.onWaiting(call->target(), 1);
+    if (!call->target().empty() && m_onTargetMissing)
+        m_onTargetMissing();
+}
+
+void CallDispatcher::dequeue(ProxiedCall& call)
+{
+    if (m_waiting.erase(call.waitNumber()))
+        m_demand.onWaiting(call.target(), -1);
+}
+
+void CallDispatcher::onCallEnded(ProxiedCall& call)
+{
+    dequeue(call);
+    m_activeCalls.erase(call.shared_from_this());
+    wakeWaiting();
+}
+
+void CallDispatcher::wakeWaiting()
+{
+    if (m_queuePassPending || m_waiting.empty())
+        return;
+    m_queuePassPending = true;
+    m_queuePassTimer = m_loop.at(now() + queuePassDelay, [this] { processQueue(); });
+}
+
+std::vector<std::shared_ptr<ProxiedCall>> CallDispatcher::waitingInOrder() const
+{
+    std::map<QueuePosition, std::shared_ptr<ProxiedCall>> positions;
+    for (const auto& [number, call] : m_waiting)
+        positions.emplace(QueuePosition { call->priority(), call->queueClass(), number }, call);
+    std::vector<std::shared_ptr<ProxiedCall>> calls;
+    for (auto& [position, call] : positions)
+        calls.push_back(std::move(call));
+    return calls;
+}
+
+void CallDispatcher::processQueue()
+{
+    m_queuePassPending = false;
+    // Once an unsent call is blocked, the other unsent calls for the same service and target are blocked in this pass too.
+    std::map<QueueKey, BlockReason> blockedQueues;
+    m_standingQueues.beginPass(now());
+    for (const auto& call : waitingInOrder()) {
+        QueueKey key(call->service(), call->target());
+        auto blocked = blockedQueues.find(key);
+        BlockReason blockReason = blocked != blockedQueues.end() && call->neverSent() ? blocked->second : call->tryDispatch();
+        if (blockReason == BlockReason::None)
+            continue;
+        if (call->neverSent())
+            blockedQueues.emplace(key, blockReason);
+        bool isLate = blockReason == BlockReason::Full && call->queueClass() == QueueClass::Late;
+        if (isLate && m_standingQueues.shouldRefuseLate(key))
+            call->refuseLate();
+        else
+            call->refuseIfUnservable(blockReason);
+    }
+    m_standingQueues.endPass();
+}
+
+void CallDispatcher::tick()
+{
+    base::Instant time = now();
+    m_upstreams.expireNotices(time);
+    m_quarantine.expire(time);
+    strikeConfirmedCrashes();
+    if (!m_tokenQueue.empty())
+        processTokenQueue();
+    auto calls = m_activeCalls;
+    for (const auto& call : calls) {
+        if (!call->inFlight())
+            continue;
+        const UpstreamEntry* entry = m_upstreams.find(call->upstream());
+        if (!entry || UpstreamTable::isUnresponsive(*entry, time))
+            call->onUpstreamSilent();
+    }
+    if (!m_waiting.empty())
+        processQueue();
+}
+
+routing::RetryBudget& CallDispatcher::budget(const base::ServiceId& service)
+{
+    routing::RetryBudgetSettings settings;
+    settings.percent = m_settings.retryPercent;
+    settings.reserve = m_settings.retryReserve;
+    settings.perRequest = 3;
+    return m_budgets.try_emplace(service, settings).first->second;
+}
+
+void CallDispatcher::addToRetryBudget(const base::ServiceId& service)
+{
+    budget(service).onRequest();
+}
+
+bool CallDispatcher::consumeRetryBudget(const base::ServiceId& service, int64_t retriesSoFar)
+{
+    bool taken = budget(service).tryRetry(true, retriesSoFar);
+    m_metrics.count("toucanstep_retries_total", taken ? "granted=\"yes\"" : "granted=\"no\"");
+    return taken;
+}
+
+void CallDispatcher::onUpstreamHeard(const base::UpstreamId& upstream)
+{
+    m_upstreams.onBytesReceived(upstream, now());
+    m_crashDetector.onHeard(upstream, now());
+}
+
+void CallDispatcher::reportSuspectedCrash(const base::UpstreamId& upstream, const routing::RequestFingerprint& fingerprint)
+{
+    const UpstreamEntry* entry = m_upstreams.find(upstream);
+    m_crashDetector.onConnectionLost({ upstream, entry ? entry->description.start : StartId(), fingerprint, now() });
+}
+
+void CallDispatcher::strikeConfirmedCrashes()
+{
+    for (const auto& crashed : m_crashDetector.takeConfirmed(now())) {
+        routing::CrashId crash(base::concat(crashed.upstream, "/", crashed.start));
+        for (auto& message : m_quarantine.onCrash(crash, { crashed.fingerprint }, now()))
+            m_strikes.emplace_back(now() + strikeRepeatTime, std::move(message));
+    }
+}
+
+std::vector<routing::StrikeMessage> CallDispatcher::recentStrikes()
+{
+    std::erase_if(m_strikes, [&](const auto& strike) { return strike.first <= now(); });
+    std::vector<routing::StrikeMessage> recent;
+    for (const auto& [until, message] : m_strikes)
+        recent.push_back(message);
+    return recent;
+}
+
+} // namespace toucanstep::direct
--- /dev/null
+++ b/packages/direct/src/CallDispatcher.h
@@ -0,0 +1,137 @@
+// Accepts callers' requests, queues those that cannot run yet, and holds what all calls of a gateway share: the desired
+// state, the upstream table, the account limits and the retry budgets.
+
+#pragma once
+
+#include "toucanstep/base/Metrics.h"
+#include "toucanstep/direct/AccountLimits.h"
+#include "toucanstep/direct/CrashDetector.h"
+#include "toucanstep/direct/DemandTracker.h"
+#include "toucanstep/direct/DesiredState.h"
+#include "toucanstep/direct/QueueDiscipline.h"
+#include "toucanstep/direct/TokenQueue.h"
+#include "toucanstep/direct/UpstreamSelection.h"
+#include "toucanstep/direct/UpstreamTable.h"
+#include "toucanstep/direct/WireFormat.h"
+#include "toucanstep/http1/Client.h"
+#include "toucanstep/http1/Server.h"
+#include "toucanstep/routing/Quarantine.h"
+#include "toucanstep/routing/RetryBudget.h"
+
+#include <functional>
+#include <map>
+#include <memory>
+#include <optional>
+#include <set>
+#include <vector>
+
+namespace toucanstep::direct {
+
+class ProxiedCall;
+
+struct CallDispatcherSettings {
+    base::FailureDomain domain;
+    // This gateway's part of the fleet's retry budget: retries per hundred calls, and a fixed allowance on top.
+    int64_t retryPercent = 16;
+    int64_t retryReserve = 8;
+};
+
+class CallDispatcher final : public http1::RequestHandler {
+public:
+    CallDispatcher(io::EventLoop&, http1::Client&, const WireFormat&, base::MetricsRegistry&, CallDispatcherSettings);
+    ~CallDispatcher() override;
+
+    void onRequest(std::shared_ptr<http1::ServerExchange>) override;
+    void onUnreadable(int status) override;
+
+    void setDesiredState(std::shared_ptr<const DesiredState>);
+    std::shared_ptr<const DesiredState> desiredState() const { return m_state; }
+    base::Instant stateAppliedAt() const { return m_stateAppliedAt; }
+    // When the store last answered; for the log.
+    void setLastStoreContact(base::Instant heard) { m_lastStoreContact = heard; }
+    base::Instant lastStoreContact() const { return m_lastStoreContact; }
+    // The planner's estimates for targets that are loaded nowhere; they replace the earlier ones.
+    void setExpectedLoads(const std::vector<ExpectedLoad>&);
+    // Schedules a pass over the waiting calls; to be called when upstreams or their loaded models have changed or calls have
+    // ended.
+    void wakeWaiting();
+    // Moves calls away from upstreams that have stopped answering, confirms crashes and processes the queues. To be called
+    // several times a second.
+    void tick();
+    // Ends every call at process shutdown, with an error answer where one can still be sent. No request may be passed in
+    // afterwards.
+    void shutDownAll();
+    // Sets the handler that is called when a call for a model starts to wait.
+    void onTargetMissing(std::function<void()> handler) { m_onTargetMissing = std::move(handler); }
+
+    io::EventLoop& loop() { return m_loop; }
+    base::Instant now() const { return m_loop.now(); }
+    http1::Client& client() { return m_client; }
+    const WireFormat& format() const { return m_format; }
+    UpstreamTable& upstreams() { return m_upstreams; }
+    AccountLimits& limits() { return m_limits; }
+    DemandTracker& demand() { return m_demand; }
+    routing::Quarantine& quarantine() { return m_quarantine; }
+    base::MetricsRegistry& metrics() { return m_metrics; }
+    const CallDispatcherSettings& settings() const { return m_settings; }
+    size_t running() const { return m_activeCalls.size(); }
+    size_t waiting() const { return m_waiting.size(); }
+
+    // For ProxiedCall.
+    // Charges the account, refuses the call, or queues it until onTokensCharged() or onTokensUnavailable() is called.
+    TokenQueue::Decision acquireTokens(const std::shared_ptr<ProxiedCall>&, const base::ClientAccountId&, base::Tokens, base::Instant maxWaitUntil);
+    void leaveTokenQueue(QueuedCallNumber);
+    void enqueue(const std::shared_ptr<ProxiedCall>&);
+    void dequeue(ProxiedCall&);
+    void onCallEnded(ProxiedCall&);
+    bool consumeRetryBudget(const base::ServiceId&, int64_t retriesSoFar);
+    void addToRetryBudget(const base::ServiceId&);
+    // When the planner expects the target's model to be loaded; nothing without an estimate. Adapters are not considered.
+    std::optional<base::Instant> expectedLoad(const ModelTarget&) const;
+    void onUpstreamHeard(const base::UpstreamId&);
+    // The connection broke during the call, so its request may have crashed the upstream.
+    void reportSuspectedCrash(const base::UpstreamId&, const routing::RequestFingerprint&);
+    std::vector<routing::StrikeMessage> recentStrikes();
+    void onPlannerReport() { m_lastPlannerReport = now(); }
+    // Whether the planner has reported recently; without it nothing is loaded.
+    bool plannerActive() const;
+
+private:
+    void strikeConfirmedCrashes();
+    void processTokenQueue();
+    void processQueue();
+    // In dispatch order.
+    std::vector<std::shared_ptr<ProxiedCall>> waitingInOrder() const;
+    routing::RetryBudget& budget(const base::ServiceId&);
+
+    io::EventLoop& m_loop;
+    http1::Client& m_client;
+    const WireFormat& m_format;
+    base::MetricsRegistry& m_metrics;
+    CallDispatcherSettings m_settings;
+    std::shared_ptr<const DesiredState> m_state;
+    base::Instant m_stateAppliedAt;
+    base::Instant m_lastStoreContact;
+    UpstreamTable m_upstreams;
+    AccountLimits m_limits;
+    TokenQueue m_tokenQueue;
+    std::map<QueuedCallNumber, std::shared_ptr<ProxiedCall>> m_awaitingTokens;
+    io::EventLoop::TimerId m_tokenTimer = 0;
+    DemandTracker m_demand;
+    routing::Quarantine m_quarantine;
+    std::map<base::ServiceId, routing::RetryBudget> m_budgets;
+    std::map<ModelTarget, base::Instant> m_expectedLoads;
+    std::optional<base::Instant> m_lastPlannerReport;
+    std::function<void()> m_onTargetMissing;
+    std::set<std::shared_ptr<ProxiedCall>> m_activeCalls;
+    StandingQueueDetector m_standingQueues;
+    // By wait number, which grows with each call that starts to wait.
+    std::map<uint64_t, std::shared_ptr<ProxiedCall>> m_waiting;
+    uint64_t m_lastWaitNumber = 0;
+    io::EventLoop::TimerId m_queuePassTimer = 0;
+    bool m_queuePassPending = false;
+    CrashDetector m_crashDetector;
+    std::vector<std::pair<base::Instant, routing::StrikeMessage>> m_strikes;
+};
+
+} // namespace toucanstep::direct
--- /dev/null
+++ b/packages/direct/src/ProxiedCall.cpp
@@ -0,0 +1,610 @@
+#include "ProxiedCall.h"
+
+#include "toucanstep/base/Digest.h"
+#include "toucanstep/base/LogLine.h"
+#include "toucanstep/base/Text.h"
+
+#include <nlohmann/json.hpp>
+
+namespace toucanstep::direct {
+
+namespace {
+
+constexpr int firstRedirectStatus = 300;
+constexpr int statusBadRequest = 400;
+constexpr int statusUnauthorized = 401;
+constexpr int statusNotFound = 404;
+constexpr int statusTooManyRequests = 429;
+constexpr int firstServerErrorStatus = 500;
+constexpr int statusBadGateway = 502;
+constexpr int statusUnavailable = 503;
+constexpr int statusGatewayTimeout = 504;
+
+// Connections within a region are established in milliseconds; an upstream that needs this long is down or unreachable.
+constexpr auto connectTimeout = std::chrono::milliseconds(300);
+// Answers up to this size are buffered and delivered whole, so that a failure midway can still be reported as an error.
+constexpr size_t maxBufferedAnswerBytes = 64 * 1024;
+// How often a call may be sent, including sends that were rejected or could not connect.
+constexpr int64_t maxSends = 4;
+// A call that starts less than this before its deadline cannot finish in time: its prompt has to be read and a first event
+// produced.
+constexpr auto minRunTime = std::chrono::milliseconds(150);
+// How long a call waits for a target that is not loaded while the planner is absent and has given no estimate for it.
+constexpr auto maxWaitWithoutPlan = std::chrono::milliseconds(1500);
+// How long a call waits while no upstream of its service is usable: the time it takes to detect a crashed upstream.
+constexpr auto maxWaitWithoutUpstream = std::chrono::milliseconds(400);
+// A call waits for its account's tokens for at most this fraction of its latency target; the rest is left for sending it and
+// for the start of the answer.
+constexpr double tokenWaitFraction = 0.3;
+// Retry-After without a better estimate.
+constexpr auto defaultRetryAfter = std::chrono::milliseconds(500);
+// Retry-After is increased by up to this fraction, so that calls that are refused together do not come back together.
+constexpr double retryJitter = 0.5;
+
+std::string_view pathOf(std::string_view target)
+{
+    return target.substr(0, target.find('?'));
+}
+
+// A repeated call has the same fingerprint. The request id differs between attempts and is left out.
+routing::RequestFingerprint fingerprintOfCall(const base::ClientAccountId& account, const http1::RequestHead& head, std::string_view body)
+{
+    return routing::fingerprintOf(account, base::concat(head.method, " ", head.target, "\n", body));
+}
+
+double jitterOf(const base::RequestId& id)
+{
+    constexpr size_t steps = 1024;
+    return static_cast<double>(std::hash<std::string> {}(id.value()) % steps) / steps;
+}
+
+} // namespace
+
+ProxiedCall::ProxiedCall(CallDispatcher& dispatcher, std::shared_ptr<http1::ServerExchange> caller)
+    : m_dispatcher(dispatcher)
+    , m_callerExchange(std::move(caller))
+    , m_state(dispatcher.desiredState())
+    , m_stateAppliedAt(dispatcher.stateAppliedAt())
+    , m_lastStoreContact(dispatcher.lastStoreContact())
+    , m_arrived(dispatcher.now())
+{
+}
+
+ProxiedCall::~ProxiedCall()
+{
+    m_dispatcher.loop().cancel(m_timer);
+}
+
+base::Duration ProxiedCall::timeLeft() const { return base::remaining(m_dispatcher.now(), m_deadline); }
+
+void ProxiedCall::start()
+{
+    bool admitted = admit();
+    if (m_phase == Phase::Done)
+        return;
+    m_timer = m_dispatcher.loop().at(m_deadline, [weak = weak_from_this()] {
+        if (auto self = weak.lock())
+            self->onDeadline();
+    });
+    m_callerExchange->onGone([weak = weak_from_this()] {
+        if (auto self = weak.lock())
+            self->onCallerGone();
+    });
+    if (admitted)
+        onAdmitted();
+}
+
+void ProxiedCall::onAdmitted()
+{
+    m_phase = Phase::Checking;
+    m_dispatcher.demand().onArrival(m_call.target, m_dispatcher.now());
+    m_dispatcher.addToRetryBudget(m_service);
+    dispatchOrWait();
+}
+
+bool ProxiedCall::admit()
+{
+    std::string reason;
+    const http1::RequestHead& head = m_callerExchange->head();
+    auto call = m_dispatcher.format().readCall(head, reason);
+    if (!call) {
+        refuse(statusBadRequest, "bad_request", Execution::NotRun, reason);
+        return false;
+    }
+    m_call = std::move(*call);
+    if (!m_state) {
+        refuse(statusUnavailable, "starting", Execution::NotRun, "the gateway does not know the desired state yet", defaultRetryAfter);
+        return false;
+    }
+    const std::string* host = head.headers.find("host");
+    m_route = m_state->findRoute(host ? std::string_view(*host) : std::string_view(), pathOf(head.target));
+    if (!m_route) {
+        refuse(statusNotFound, "unknown_route", Execution::NotRun, "no route has this host and path");
+        return false;
+    }
+    const Account* account = nullptr;
+    if (!m_route->allowsAnonymous && !m_state->accounts.empty()) {
+        account = m_call.key.empty() ? nullptr : m_state->findAccountByKey(base::KeyFingerprint(base::sha256Hex(m_call.key)));
+        if (!account) {
+            refuse(statusUnauthorized, "unauthorized", Execution::NotRun, "the key is missing or not known");
+            return false;
+        }
+        m_account = account->limits.id;
+    }
+    m_priority = account && account->priority ? *account->priority : m_route->priority;
+    base::Duration limit = m_call.timeLimit ? std::min(*m_call.timeLimit, m_route->timeout) : m_route->timeout;
+    m_deadline = m_arrived + limit;
+    bool leavesEarlier = m_route->callerAbandonTimeout > base::Duration::zero() && m_route->callerAbandonTimeout < limit;
+    m_answerStartDeadline = leavesEarlier ? m_arrived + m_route->callerAbandonTimeout : m_deadline;
+    m_fingerprint = fingerprintOfCall(m_account, head, m_callerExchange->body());
+    if (m_dispatcher.quarantine().state(m_fingerprint, m_arrived) == routing::QuarantineState::Refused) {
+        refuse(statusUnavailable, "request_quarantined", Execution::NotRun, "this request has broken off at several upstreams");
+        return false;
+    }
+    if (!selectService(*m_route))
+        return false;
+    return !account || !account->limited() || acquireTokens(*account);
+}
+
+bool ProxiedCall::acquireTokens(const Account& account)
+{
+    m_cost = account.countsTokens ? (m_call.declaresTokens ? m_call.cost() : account.baseCost) : base::Tokens(1);
+    auto maxWaitUntil = m_arrived + std::chrono::duration_cast<base::Duration>(m_route->latencyTarget * tokenWaitFraction);
+    TokenQueue::Decision decision = m_dispatcher.acquireTokens(shared_from_this(), m_account, m_cost, maxWaitUntil);
+    switch (decision.result) {
+    case TokenResult::Charged:
+        m_charged = m_cost;
+        return true;
+    case TokenResult::Queued:
+        m_tokenQueueNumber = decision.number;
+        m_phase = Phase::WaitingForTokens;
+        return false;
+    case TokenResult::Refused:
+        onTokensUnavailable(decision.expected);
+        break;
+    }
+    return false;
+}
+
+void ProxiedCall::onTokensCharged()
+{
+    m_tokenQueueNumber.reset();
+    m_charged = m_cost;
+    onAdmitted();
+}
+
+void ProxiedCall::onTokensUnavailable(base::Instant expected)
+{
+    m_tokenQueueNumber.reset();
+    refuse(statusTooManyRequests, "rate_limited", Execution::NotRun, "the account is over its rate", base::remaining(m_dispatcher.now(), expected));
+}
+
+bool ProxiedCall::selectService(const Route& route)
+{
+    int64_t total = 0;
+    for (const auto& destination : route.destinations)
+        total += std::max<int64_t>(destination.weight, 0);
+    if (total <= 0) {
+        refuse(statusUnavailable, "no_destination", Execution::NotRun, "the route has no service with a weight", defaultRetryAfter);
+        return false;
+    }
+    auto draw = static_cast<int64_t>(std::hash<std::string> {}(m_call.id.value()) % static_cast<size_t>(total));
+    for (const auto& destination : route.destinations) {
+        draw -= std::max<int64_t>(destination.weight, 0);
+        if (draw < 0) {
+            m_service = destination.service;
+            break;
+        }
+    }
+    return true;
+}
+
+BlockReason ProxiedCall::tryDispatch()
+{
+    UpstreamQuery query;
+    query.service = m_service;
+    query.target = m_call.target;
+    query.triedUpstreams = &m_triedUpstreams;
+    query.domain = m_dispatcher.settings().domain;
+    query.spreadKey = m_call.id.value();
+    if (!m_call.prompt.empty())
+        query.promptPrefix = m_call.prompt.front().hash;
+    UpstreamSelection choice = selectUpstream(m_dispatcher.upstreams(), query, m_dispatcher.now());
+    if (choice.blockReason == BlockReason::None)
+        send(choice.upstream);
+    return choice.blockReason;
+}
+
+void ProxiedCall::dispatchOrWait()
+{
+    releaseUpstream();
+    BlockReason blockReason = tryDispatch();
+    if (blockReason == BlockReason::None)
+        return;
+    if (!m_sends)
+        m_firstBlockReason = blockReason;
+    if (refuseIfUnservable(blockReason))
+        return;
+    m_phase = Phase::Waiting;
+    m_dispatcher.enqueue(shared_from_this());
+}
+
+QueueClass ProxiedCall::queueClass() const
+{
+    return queueClassOf(m_firstByte.has_value(), m_arrived, m_route->latencyTarget, m_dispatcher.now());
+}
+
+bool ProxiedCall::refuseIfUnservable(BlockReason blockReason)
+{
+    // A stream that has started can no longer be refused; it is aborted if it cannot continue.
+    bool answerStarted = m_firstByte.has_value();
+    base::Instant time = m_dispatcher.now();
+    Execution execution = m_possibleRuns ? Execution::MayHaveRun : Execution::NotRun;
+    if (blockReason == BlockReason::NotLoaded) {
+        auto expected = m_dispatcher.expectedLoad(m_call.target);
+        if (expected && *expected + minRunTime > m_answerStartDeadline && !answerStarted) {
+            m_dispatcher.demand().onRefused(m_call.target, m_answerStartDeadline);
+            refuse(statusUnavailable, "not_loaded_in_time", execution, "the model will not be loaded in time", base::remaining(time, *expected));
+            return true;
+        }
+        if (!expected && !m_dispatcher.plannerActive() && time - m_arrived > maxWaitWithoutPlan && !answerStarted) {
+            refuse(statusUnavailable, "not_loaded", execution, "the model is not loaded", defaultRetryAfter);
+            return true;
+        }
+    }
+    if (blockReason == BlockReason::NoUpstream && time - m_arrived > maxWaitWithoutUpstream && !answerStarted) {
+        refuse(statusUnavailable, "no_upstream", execution, "no upstream of the service can be used", defaultRetryAfter);
+        return true;
+    }
+    if (time + minRunTime > m_answerStartDeadline && !answerStarted) {
+        refuse(statusUnavailable, "overloaded", execution, "no upstream can take the call in time", defaultRetryAfter);
+        return true;
+    }
+    return false;
+}
+
+void ProxiedCall::refuseLate()
+{
+    refuse(statusUnavailable, "overloaded", m_possibleRuns ? Execution::MayHaveRun : Execution::NotRun, "more calls come than the upstreams can run", defaultRetryAfter);
+}
+
+std::string ProxiedCall::requestHead(const base::UpstreamId& upstream) const
+{
+    const http1::RequestHead& head = m_callerExchange->head();
+    std::string out = base::concat(head.method, " ", head.target, " HTTP/1.1\r\n");
+    auto options = http1::connectionOptionsOf(head.headers);
+    for (const auto& header : head.headers.all()) {
+        if (!http1::isHopByHop(header.name, options) && !m_dispatcher.format().isSystemHeader(header.name))
+            http1::appendHeader(out, header.name, header.value);
+    }
+    ForwardedCall forwarded;
+    forwarded.upstream = upstream;
+    forwarded.account = m_account;
+    forwarded.timeLeft = timeLeft();
+    forwarded.priority = std::clamp<int64_t>(m_priority, 0, lowestPriority);
+    forwarded.resumeAfter = m_events.lastId().empty() ? m_call.resumeAfter : m_events.lastId();
+    m_dispatcher.format().appendForwardedHeaders(out, forwarded);
+    bool hasBody = !m_callerExchange->body().empty() || head.headers.find("content-length") || head.headers.find("transfer-encoding");
+    if (hasBody)
+        http1::appendHeader(out, "Content-Length", std::to_string(m_callerExchange->body().size()));
+    return out + "\r\n";
+}
+
+void ProxiedCall::send(const base::UpstreamId& upstream)
+{
+    m_dispatcher.dequeue(*this);
+    UpstreamEntry* entry = m_dispatcher.upstreams().find(upstream);
+    http1::OutgoingRequest request;
+    request.head = requestHead(upstream);
+    request.body = m_callerExchange->body();
+    request.answersHead = m_callerExchange->head().method == "HEAD";
+    request.connectDeadline = m_dispatcher.now() + connectTimeout;
+    m_phase = m_firstByte ? Phase::Delivering : Phase::Sent;
+    m_receivedHead = false;
+    m_upstream = upstream;
+    m_triedUpstreams.insert(upstream);
+    if (!m_sends)
+        m_firstSent = m_dispatcher.now();
+    ++m_sends;
+    ++m_possibleRuns;
+    m_dispatcher.upstreams().onDispatched(upstream, m_dispatcher.now());
+    m_dispatcher.demand().onSent(m_call.target, m_dispatcher.now());
+    m_upstreamExchange = m_dispatcher.client().send({ upstream.value(), entry->description.endpoint }, std::move(request), this);
+}
+
+void ProxiedCall::releaseUpstream()
+{
+    if (!m_upstreamExchange)
+        return;
+    m_upstreamExchange.reset();
+    m_dispatcher.upstreams().onEnded(m_upstream, m_receivedHead);
+    m_dispatcher.demand().onEnded(m_call.target, m_receivedHead, m_dispatcher.now());
+    m_dispatcher.wakeWaiting();
+}
+
+void ProxiedCall::onHead(http1::ResponseHead head)
+{
+    m_dispatcher.onUpstreamHeard(m_upstream);
+    if (!m_receivedHead) {
+        m_dispatcher.upstreams().onAnswerBegun(m_upstream);
+        m_dispatcher.demand().onAnswerBegun(m_call.target, m_dispatcher.now());
+    }
+    m_responseMetadata = m_dispatcher.format().readVerdict(head);
+    m_responseHead = std::move(head);
+    m_receivedHead = true;
+    m_bufferedBody.clear();
+    m_passThrough = false;
+}
+
+void ProxiedCall::onBody(std::string_view piece)
+{
+    m_dispatcher.onUpstreamHeard(m_upstream);
+    auto self = shared_from_this();
+    bool foreign = !m_responseMetadata.id.empty() && m_responseMetadata.id != m_call.id;
+    bool accepted = m_responseHead.status < firstRedirectStatus && m_responseMetadata.hasSignature && !foreign;
+    if (accepted && m_responseMetadata.streaming) {
+        if (!m_firstByte)
+            startStreaming();
+        m_callerExchange->write(m_route->resumable ? m_events.feed(piece) : std::string(piece));
+        return;
+    }
+    m_bufferedBody.append(piece);
+    if (accepted && !m_passThrough && m_bufferedBody.size() > maxBufferedAnswerBytes) {
+        m_passThrough = true;
+        startStreaming();
+    }
+    if (m_passThrough) {
+        m_callerExchange->write(m_bufferedBody);
+        m_bufferedBody.clear();
+    }
+}
+
+namespace {
+
+http1::HeaderList endToEndHeaders(const http1::ResponseHead& head)
+{
+    http1::HeaderList kept;
+    auto options = http1::connectionOptionsOf(head.headers);
+    for (const auto& header : head.headers.all()) {
+        if (!http1::isHopByHop(header.name, options))
+            kept.add(header.name, header.value);
+    }
+    return kept;
+}
+
+} // namespace
+
+void ProxiedCall::startStreaming()
+{
+    m_firstByte = m_dispatcher.now();
+    m_phase = Phase::Delivering;
+    m_callerExchange->begin({ m_responseHead.status, m_responseHead.reason, endToEndHeaders(m_responseHead), std::nullopt });
+}
+
+void ProxiedCall::deliverBufferedAnswer()
+{
+    m_firstByte = m_dispatcher.now();
+    m_callerExchange->answer({ m_responseHead.status, m_responseHead.reason, endToEndHeaders(m_responseHead), std::nullopt }, m_bufferedBody);
+}
+
+void ProxiedCall::onWhole()
+{
+    auto self = shared_from_this();
+    if (!m_responseMetadata.id.empty() && m_responseMetadata.id != m_call.id) {
+        fail("the answer belongs to another request");
+        return;
+    }
+    if (m_responseMetadata.notRun) {
+        onRejected();
+        return;
+    }
+    if (m_responseHead.status >= firstServerErrorStatus || m_responseHead.status == statusTooManyRequests) {
+        onServerError();
+        return;
+    }
+    if (m_responseHead.status < firstRedirectStatus && !m_responseMetadata.hasSignature) {
+        fail("the upstream does not vouch for its answer");
+        return;
+    }
+    bool streamed = m_phase == Phase::Delivering;
+    if (streamed && m_responseHead.status >= firstRedirectStatus) {
+        fail("the upstream that was to go on with the stream refused");
+        return;
+    }
+    if (streamed && m_events.hasPartial()) {
+        fail("the stream ended within an event");
+        return;
+    }
+    int status = m_responseHead.status;
+    releaseUpstream();
+    if (streamed)
+        m_callerExchange->end();
+    else
+        deliverBufferedAnswer();
+    finish("answered", status);
+}
+
+void ProxiedCall::onRejected()
+{
+    --m_possibleRuns;
+    m_dispatcher.metrics().count("toucanstep_rejected_by_upstream_total");
+    base::LogLine("call_rejected").add("id", m_call.id).add("upstream", m_upstream).add("status", m_responseHead.status).add("sends", m_sends);
+    // The target is no longer loaded there, or not yet, so another attempt is worthwhile.
+    if (m_sends < maxSends && timeLeft() > minRunTime && m_dispatcher.consumeRetryBudget(m_service, m_retries)) {
+        ++m_retries;
+        dispatchOrWait();
+        return;
+    }
+    if (m_firstByte) {
+        fail("no upstream takes the stream up again");
+        return;
+    }
+    releaseUpstream();
+    refuse(statusUnavailable, "rejected", m_possibleRuns ? Execution::MayHaveRun : Execution::NotRun, "the upstreams have turned the call away", defaultRetryAfter);
+}
+
+bool ProxiedCall::tryRetry()
+{
+    if (!m_route->mayRepeat() || m_possibleRuns >= m_route->attempts || m_sends >= maxSends || timeLeft() < minRunTime)
+        return false;
+    if (!m_dispatcher.consumeRetryBudget(m_service, m_retries))
+        return false;
+    ++m_retries;
+    return true;
+}
+
+void ProxiedCall::onServerError()
+{
+    m_dispatcher.upstreams().onFailure(m_upstream, m_dispatcher.now());
+    if (m_phase != Phase::Delivering && tryRetry()) {
+        dispatchOrWait();
+        return;
+    }
+    // 429 and 503 promise the caller that the call has not run, which this upstream did not state.
+    bool promisesNotRun = m_responseHead.status == statusUnavailable || m_responseHead.status == statusTooManyRequests;
+    if (promisesNotRun || m_phase == Phase::Delivering) {
+        fail("the upstream failed without saying whether the call ran");
+        return;
+    }
+    int status = m_responseHead.status;
+    releaseUpstream();
+    deliverBufferedAnswer();
+    finish("upstream_error", status);
+}
+
+void ProxiedCall::onBroken(http1::Breakage breakage)
+{
+    auto self = shared_from_this();
+    if (breakage == http1::Breakage::NotSent) {
+        --m_possibleRuns;
+        m_dispatcher.upstreams().onUnreachable(m_upstream, m_dispatcher.now());
+        base::LogLine("upstream_unreachable").add("id", m_call.id).add("upstream", m_upstream);
+        if (m_sends < maxSends && timeLeft() > minRunTime)
+            dispatchOrWait();
+        else
+            fail("no upstream can be reached");
+        return;
+    }
+    m_dispatcher.upstreams().onFailure(m_upstream, m_dispatcher.now());
+    if (breakage == http1::Breakage::Broken)
+        m_dispatcher.reportSuspectedCrash(m_upstream, m_fingerprint);
+    m_events.dropPartial();
+    bool resumable = m_route->resumable && m_responseMetadata.streaming && !m_events.lastId().empty();
+    if ((!m_firstByte || resumable) && tryRetry()) {
+        base::LogLine("call_moved").add("id", m_call.id).add("from", m_upstream).add("behind", m_events.lastId());
+        dispatchOrWait();
+        return;
+    }
+    fail(breakage == http1::Breakage::Malformed ? "the upstream's answer cannot be read" : "the upstream broke off");
+}
+
+void ProxiedCall::onUpstreamSilent()
+{
+    if (!inFlight() || !m_route->mayRepeat())
+        return;
+    m_events.dropPartial();
+    bool resumable = m_route->resumable && !m_events.lastId().empty();
+    if ((m_firstByte && !resumable) || !tryRetry())
+        return;
+    base::LogLine("call_moved").add("id", m_call.id).add("from", m_upstream).add("reason", "silent");
+    dispatchOrWait();
+}
+
+void ProxiedCall::fail(std::string_view reason)
+{
+    releaseUpstream();
+    if (m_firstByte) {
+        base::LogLine("stream_cut").add("id", m_call.id).add("upstream", m_upstream).add("reason", reason);
+        m_callerExchange->abort();
+        finish("cut", 0);
+        return;
+    }
+    if (m_possibleRuns)
+        refuse(statusBadGateway, "upstream_failed", Execution::MayHaveRun, reason);
+    else
+        refuse(statusUnavailable, "upstream_unreachable", Execution::NotRun, reason, defaultRetryAfter);
+}
+
+void ProxiedCall::onDeadline()
+{
+    auto self = shared_from_this();
+    if (m_phase == Phase::Done)
+        return;
+    bool sent = inFlight();
+    releaseUpstream();
+    if (m_firstByte) {
+        m_callerExchange->abort();
+        finish("cut_at_deadline", 0);
+        return;
+    }
+    if (sent || m_possibleRuns)
+        refuse(statusGatewayTimeout, "deadline_exceeded", Execution::MayHaveRun, "no answer within the time limit");
+    else
+        refuse(statusUnavailable, "overloaded", Execution::NotRun, "no upstream could take the call in time", defaultRetryAfter);
+}
+
+void ProxiedCall::onCallerGone()
+{
+    auto self = shared_from_this();
+    if (m_phase == Phase::Done)
+        return;
+    releaseUpstream();
+    finish("caller_left", 0);
+}
+
+void ProxiedCall::shutDown()
+{
+    auto self = shared_from_this();
+    if (m_phase == Phase::Done)
+        return;
+    if ((m_phase == Phase::Waiting || m_phase == Phase::WaitingForTokens) && !m_possibleRuns && !m_firstByte)
+        refuse(statusUnavailable, "leaving", Execution::NotRun, "the gateway ends", defaultRetryAfter);
+    else
+        fail("the gateway ends");
+}
+
+void ProxiedCall::refuse(int status, std::string_view code, Execution execution, std::string_view message, std::optional<base::Duration> retryAfter)
+{
+    auto self = shared_from_this();
+    // A call that ran nowhere is refunded; one that may have run stays charged, since it may have used its tokens.
+    if (execution == Execution::NotRun && m_charged.value())
+        m_dispatcher.limits().refund(m_account, m_charged);
+    bool promisesNotRun = status == statusUnavailable || status == statusTooManyRequests;
+    if (promisesNotRun && execution == Execution::MayHaveRun) {
+        status = statusBadGateway;
+        retryAfter.reset();
+    }
+    http1::AnswerHead head;
+    head.status = status;
+    head.headers.add("Content-Type", "application/json");
+    if (retryAfter) {
+        double seconds = base::toSeconds(*retryAfter) * (1 + retryJitter * jitterOf(m_call.id));
+        head.headers.add("Retry-After", base::concat(std::max(seconds, 0.05)));
+    }
+    nlohmann::json error { { "error", { { "code", code }, { "message", message }, { "ran", execution == Execution::NotRun ? "not_run" : "may_have_run" } } } };
+    m_callerExchange->answer(std::move(head), error.dump());
+    finish(code, status);
+}
+
+void ProxiedCall::finish(std::string_view outcome, int status)
+{
+    m_phase = Phase::Done;
+    if (m_tokenQueueNumber)
+        m_dispatcher.leaveTokenQueue(*m_tokenQueueNumber);
+    m_dispatcher.loop().cancel(m_timer);
+    base::Instant time = m_dispatcher.now();
+    base::LogLine line("call_ended");
+    line.add("id", m_call.id).add("outcome", outcome).add("status", status);
+    if (m_state)
+        line.add("version", m_state->version).add("version_age_ms", base::toMilliseconds(m_arrived - m_stateAppliedAt)).add("store_age_ms", base::toMilliseconds(m_arrived - m_lastStoreContact));
+    if (m_route)
+        line.add("route", m_route->id).add("target_ms", base::toMilliseconds(m_route->latencyTarget));
+    line.add("account", m_account).add("model", m_call.target.model).add("adapter", m_call.target.adapter).add("upstream", m_upstream).add("sends", m_sends);
+    line.add("waited_for", toText(m_firstBlockReason)).add("sent_ms", m_firstSent ? base::toMilliseconds(*m_firstSent - m_arrived) : -1);
+    line.add("first_ms", m_firstByte ? base::toMilliseconds(*m_firstByte - m_arrived) : -1).add("total_ms", base::toMilliseconds(time - m_arrived));
+    m_dispatcher.metrics().count("toucanstep_calls_total", base::concat("outcome=\"", outcome, "\""));
+    m_dispatcher.metrics().observe("toucanstep_call_seconds", "", base::toSeconds(time - m_arrived));
+    m_dispatcher.onCallEnded(*this);
+}
+
+} // namespace toucanstep::direct
--- /dev/null
+++ b/packages/direct/test/CrashDetectorTest.cpp
@@ -0,0 +1,42 @@
+#include "toucanstep/direct/CrashDetector.h"
+
+#include <CppUTest/TestHarness.h>
+
+using namespace toucanstep;
+using namespace toucanstep::direct;
+
+namespace {
+
+constexpr base::Instant start { std::chrono::hours(1) };
+constexpr auto millisecond = std::chrono::milliseconds(1);
+const base::UpstreamId engine("e");
+
+SuspectedCrash suspectedCrash(const char* fingerprint = "f") { return { engine, StartId(1), routing::RequestFingerprint(fingerprint), start }; }
+
+} // namespace
+
+TEST_GROUP(CrashDetector)
+{
+    CrashDetector detector;
+};
+
+// Guards against quarantining a request after network resets (soak seeds 138 and 156). The connections to two engines were
+// reset, both resets counted as crashes caused by the request, and all calls of the account to that path, which are alike,
+// were refused for a minute.
+TEST(CrashDetector, AnUpstreamHeardAfterAResetHasNotCrashed)
+{
+    detector.onConnectionLost(suspectedCrash());
+    detector.onHeard(engine, start + 200 * millisecond);
+    CHECK_TRUE(detector.takeConfirmed(start + 600 * millisecond).empty());
+}
+
+TEST(CrashDetector, AnUpstreamThatStaysSilentHasCrashed)
+{
+    detector.onConnectionLost(suspectedCrash());
+    detector.onHeard(base::UpstreamId("another"), start + 200 * millisecond);
+    // Sent before the crash and received after it.
+    detector.onHeard(engine, start + 10 * millisecond);
+    CHECK_TRUE(detector.takeConfirmed(start + 400 * millisecond).empty());
+    UNSIGNED_LONGS_EQUAL(1, detector.takeConfirmed(start + 600 * millisecond).size());
+    CHECK_TRUE(detector.takeConfirmed(start + 700 * millisecond).empty());
+}
--- a/packages/direct/test/DecisionTest.cpp
+++ b/packages/direct/test/DecisionTest.cpp
@@ -1,9 +1,9 @@
 #include "EventSplitter.h"
-#include "toucanstep/direct/DemandBook.h"
+#include "toucanstep/direct/DemandTracker.h"
 #include "toucanstep/direct/DesiredState.h"
-#include "toucanstep/direct/Dispatch.h"
 #include "toucanstep/direct/FleetReports.h"
 #include "toucanstep/direct/PlannerLeadership.h"
+#include "toucanstep/direct/UpstreamSelection.h"
 #include "toucanstep/testing/Property.h"
 
 #include <CppUTest/TestHarness.h>
@@ -26,9 +26,9 @@
     return description;
 }
 
-DispatchQuery asks(const std::string& model, const std::string& adapter = "")
+UpstreamQuery asks(const std::string& model, const std::string& adapter = "")
 {
-    DispatchQuery query;
+    UpstreamQuery query;
     query.service = base::ServiceId("narrator");
     query.target = { base::ModelId(model), AdapterId(adapter) };
     query.domain = base::FailureDomain("a");
@@ -37,20 +37,20 @@
 
 } // namespace
 
-TEST_GROUP(Dispatch)
+TEST_GROUP(UpstreamSelection)
 {
     UpstreamTable table;
     base::Instant now = start;
 
-    std::string chosen(const DispatchQuery& query)
+    std::string chosen(const UpstreamQuery& query)
     {
-        DispatchChoice choice = chooseUpstream(table, query, now);
-        return choice.obstacle == Obstacle::None ? choice.upstream.value() : "";
+        UpstreamSelection choice = selectUpstream(table, query, now);
+        return choice.blockReason == BlockReason::None ? choice.upstream.value() : "";
     }
-    Obstacle obstacle(const DispatchQuery& query) { return chooseUpstream(table, query, now).obstacle; }
+    BlockReason blockReason(const UpstreamQuery& query) { return selectUpstream(table, query, now).blockReason; }
 };
 
-TEST(Dispatch, ChoosesLeastBusyEngineThatHoldsTheModel)
+TEST(UpstreamSelection, ChoosesLeastBusyEngineThatHoldsTheModel)
 {
     table.put(engine("one", "m"), now);
     table.put(engine("two", "m"), now);
@@ -59,7 +59,7 @@
     STRCMP_EQUAL("two", chosen(asks("m")).c_str());
 }
 
-TEST(Dispatch, SpreadsSimultaneousCallsOfSeveralGatewaysOverIdleUpstreams)
+TEST(UpstreamSelection, SpreadsSimultaneousCallsOfSeveralGatewaysOverIdleUpstreams)
 {
     // Guards against a queue at one engine while others are idle: gateways that do not know each other's calls yet see the same
     // idle engines, and each would choose the first in the list.
@@ -67,14 +67,14 @@
         table.put(engine(id, "m"), now);
     std::set<std::string> used;
     for (int call = 0; call < 30; ++call) {
-        DispatchQuery query = asks("m");
-        query.spreadBy = std::to_string(call);
+        UpstreamQuery query = asks("m");
+        query.spreadKey = std::to_string(call);
         used.insert(chosen(query));
     }
     LONGS_EQUAL(3, used.size());
 }
 
-TEST(Dispatch, CountsCallsOfOtherGateways)
+TEST(UpstreamSelection, CountsCallsOfOtherGateways)
 {
     table.put(engine("one", "m"), now);
     table.put(engine("two", "m"), now);
@@ -82,14 +82,14 @@
     STRCMP_EQUAL("two", chosen(asks("m")).c_str());
 }
 
-TEST(Dispatch, PrefersEngineWithFewerPromptsInPrefillQueue)
+TEST(UpstreamSelection, PrefersEngineWithFewerPromptsInPrefillQueue)
 {
     // Guards against late first tokens while another engine is free: an engine with many slots looked idle although a dozen
     // prompts were queued there, and prefix affinity sent more calls to it.
     table.put(engine("one", "m", 128), now);
     table.put(engine("two", "m", 128), now);
-    DispatchQuery query = asks("m");
-    query.sharedPrompt = "5c1e07a2";
+    UpstreamQuery query = asks("m");
+    query.promptPrefix = "5c1e07a2";
     std::string home = chosen(query);
     std::string other = home == "one" ? "two" : "one";
     for (int call = 0; call < 4; ++call)
@@ -105,34 +105,34 @@
     STRCMP_EQUAL(home.c_str(), chosen(query).c_str());
 }
 
-TEST(Dispatch, ReportsTheObstacle)
+TEST(UpstreamSelection, ReportsTheBlockReason)
 {
-    CHECK_TRUE(obstacle(asks("m")) == Obstacle::NoUpstream);
+    CHECK_TRUE(blockReason(asks("m")) == BlockReason::NoUpstream);
     table.put(engine("one", "m", 1), now);
-    CHECK_TRUE(obstacle(asks("n")) == Obstacle::NotLoaded);
-    CHECK_TRUE(obstacle(asks("m", "a1")) == Obstacle::NotLoaded);
+    CHECK_TRUE(blockReason(asks("n")) == BlockReason::NotLoaded);
+    CHECK_TRUE(blockReason(asks("m", "a1")) == BlockReason::NotLoaded);
     table.onDispatched(base::UpstreamId("one"), now);
-    CHECK_TRUE(obstacle(asks("m")) == Obstacle::Full);
+    CHECK_TRUE(blockReason(asks("m")) == BlockReason::Full);
 }
 
-TEST(Dispatch, DrainingEngineGetsNoNewCalls)
+TEST(UpstreamSelection, DrainingEngineGetsNoNewCalls)
 {
     UpstreamDescription leaving = engine("one", "m");
     leaving.draining = true;
     table.put(leaving, now);
-    CHECK_TRUE(obstacle(asks("m")) == Obstacle::NoUpstream);
+    CHECK_TRUE(blockReason(asks("m")) == BlockReason::NoUpstream);
 }
 
-TEST(Dispatch, TriedUpstreamIsNotChosenAgain)
+TEST(UpstreamSelection, TriedUpstreamIsNotChosenAgain)
 {
     table.put(engine("one", "m"), now);
     std::set<base::UpstreamId> tried { base::UpstreamId("one") };
-    DispatchQuery query = asks("m");
-    query.tried = &tried;
-    CHECK_TRUE(obstacle(query) == Obstacle::NoUpstream);
+    UpstreamQuery query = asks("m");
+    query.triedUpstreams = &tried;
+    CHECK_TRUE(blockReason(query) == BlockReason::NoUpstream);
 }
 
-TEST(Dispatch, FailingEngineGetsFewerCallsUntilFailuresDecay)
+TEST(UpstreamSelection, FailingEngineGetsFewerCallsUntilFailuresDecay)
 {
     // Guards against losing a share of the calls to an engine that fails them while its health check succeeds.
     table.put(engine("one", "m"), now);
@@ -144,16 +144,16 @@
     STRCMP_EQUAL("one", chosen(asks("m")).c_str());
 }
 
-TEST(Dispatch, UnreachableUpstreamIsSkippedForAWhile)
+TEST(UpstreamSelection, UnreachableUpstreamIsSkippedForAWhile)
 {
     table.put(engine("one", "m"), now);
     table.onUnreachable(base::UpstreamId("one"), now);
-    CHECK_TRUE(obstacle(asks("m")) == Obstacle::NoUpstream);
+    CHECK_TRUE(blockReason(asks("m")) == BlockReason::NoUpstream);
     now += std::chrono::seconds(1);
     STRCMP_EQUAL("one", chosen(asks("m")).c_str());
 }
 
-TEST(Dispatch, UnresponsiveEngineIsTheLastChoice)
+TEST(UpstreamSelection, UnresponsiveEngineIsTheLastChoice)
 {
     table.put(engine("one", "m"), now);
     table.put(engine("two", "m"), now);
@@ -166,29 +166,29 @@
     STRCMP_EQUAL("one", chosen(asks("m")).c_str());
 }
 
-TEST(Dispatch, CallsWithASharedPromptGoToOneEngine)
+TEST(UpstreamSelection, CallsWithASharedPromptGoToOneEngine)
 {
     for (const char* id : { "one", "two", "three" })
         table.put(engine(id, "m", 32), now);
-    DispatchQuery query = asks("m");
-    query.sharedPrompt = "5c1e07a2";
+    UpstreamQuery query = asks("m");
+    query.promptPrefix = "5c1e07a2";
     std::string first = chosen(query);
     table.onDispatched(base::UpstreamId(first), now);
     STRCMP_EQUAL(first.c_str(), chosen(query).c_str());
 }
 
-TEST(Dispatch, PlannerNoticeOverridesTheListUntilItExpires)
+TEST(UpstreamSelection, PlannerNoticeOverridesTheListUntilItExpires)
 {
     table.put(engine("one", "m"), now);
     table.addNotice({ base::UpstreamId("one"), StartId(), { base::ModelId("n"), AdapterId() }, true }, now + std::chrono::seconds(1));
     table.addNotice({ base::UpstreamId("one"), StartId(), { base::ModelId("m"), AdapterId() }, false }, now + std::chrono::seconds(1));
     STRCMP_EQUAL("one", chosen(asks("n")).c_str());
-    CHECK_TRUE(obstacle(asks("m")) == Obstacle::NotLoaded);
+    CHECK_TRUE(blockReason(asks("m")) == BlockReason::NotLoaded);
     now += std::chrono::seconds(1);
     STRCMP_EQUAL("one", chosen(asks("m")).c_str());
 }
 
-TEST(Dispatch, RestartedEngineLosesTheOldState)
+TEST(UpstreamSelection, RestartedEngineLosesTheOldState)
 {
     table.put(engine("one", "m"), now);
     table.addNotice({ base::UpstreamId("one"), StartId(), { base::ModelId("n"), AdapterId() }, true }, now + std::chrono::seconds(9));
@@ -196,7 +196,7 @@
     UpstreamDescription again = engine("one", "m");
     again.start = StartId(7);
     table.put(again, now);
-    CHECK_TRUE(obstacle(asks("n")) == Obstacle::NotLoaded);
+    CHECK_TRUE(blockReason(asks("n")) == BlockReason::NotLoaded);
     DOUBLES_EQUAL(0, UpstreamTable::recentFailures(*table.find(base::UpstreamId("one")), now), 0.001);
 }
 
@@ -311,10 +311,10 @@
     LONGS_EQUAL(1, loadBack.use.at(0).load.awaiting);
     LONGS_EQUAL(5, loadBack.limits.incarnation.value());
     LONGS_EQUAL(7, loadBack.limits.charges.at(0).total.value());
-    LONGS_EQUAL(77, loadBack.limits.heardDigest);
-    LONGS_EQUAL(-8, loadBack.limits.stocks.at(0).stock.value());
+    LONGS_EQUAL(77, loadBack.limits.liveSetDigest);
+    LONGS_EQUAL(-8, loadBack.limits.balances.at(0).balance.value());
     STRCMP_EQUAL("x", loadBack.strikes.at(0).crash.value().c_str());
-    STRCMP_EQUAL("h", loadBack.limits.unheard.at(0).value().c_str());
+    STRCMP_EQUAL("h", loadBack.limits.silentPeers.at(0).value().c_str());
 
     DemandReport demand { sender, { { { base::ModelId("m"), AdapterId("a1") }, 1, 2, 300, 1500 } } };
     auto demandBack = std::get<DemandReport>(*decodeReport(encodeReport(demand)));
@@ -385,11 +385,11 @@
     });
 }
 
-TEST_GROUP(DemandBook) {};
+TEST_GROUP(DemandTracker) {};
 
-TEST(DemandBook, EndedDemandDecaysAndIsRemoved)
+TEST(DemandTracker, EndedDemandDecaysAndIsRemoved)
 {
-    DemandBook book;
+    DemandTracker book;
     ModelTarget target { base::ModelId("m"), AdapterId() };
     for (int call = 0; call < 40; ++call)
         book.onArrival(target, start + std::chrono::milliseconds(100 * call));
@@ -401,9 +401,9 @@
     LONGS_EQUAL(1, book.summary(now + std::chrono::seconds(120)).at(0).waiting);
 }
 
-TEST(DemandBook, QueuedPromptsAreAveragedOverTime)
+TEST(DemandTracker, QueuedPromptsAreAveragedOverTime)
 {
-    DemandBook book;
+    DemandTracker book;
     ModelTarget target { base::ModelId("m"), AdapterId() };
     for (int call = 0; call < 4; ++call)
         book.onSent(target, start);
--- /dev/null
+++ b/packages/direct/test/QueueDisciplineTest.cpp
@@ -0,0 +1,127 @@
+#include "toucanstep/direct/QueueDiscipline.h"
+
+#include "toucanstep/direct/DemandTracker.h"
+
+#include <CppUTest/TestHarness.h>
+#include <algorithm>
+#include <vector>
+
+using namespace toucanstep;
+using namespace toucanstep::direct;
+
+namespace {
+
+constexpr base::Instant start { std::chrono::hours(1) };
+constexpr auto step = std::chrono::milliseconds(25);
+constexpr auto latencyTarget = std::chrono::milliseconds(300);
+constexpr auto callerAbandonTimeout = std::chrono::seconds(2);
+const QueueKey queueKey { base::ServiceId("engines"), { base::ModelId("m"), AdapterId() } };
+
+struct Overload {
+    int64_t servedInTime = 0;
+    int64_t refused = 0;
+    int64_t disconnected = 0;
+    base::Duration longestWaitBeforeRefusal {};
+};
+
+struct WaitingCall {
+    base::Instant arrived;
+    uint64_t number;
+};
+
+// For ten seconds a call arrives every 25 ms and the engines take one every 50 ms; callers disconnect after two seconds.
+Overload simulateOverload(bool byQueueClass)
+{
+    Overload result;
+    StandingQueueDetector standingQueues;
+    std::vector<WaitingCall> calls;
+    for (int64_t tick = 0; tick < 400; ++tick) {
+        base::Instant now = start + tick * step;
+        calls.push_back({ now, static_cast<uint64_t>(tick) });
+        std::erase_if(calls, [&](const WaitingCall& call) {
+            bool disconnects = now - call.arrived >= callerAbandonTimeout;
+            result.disconnected += disconnects ? 1 : 0;
+            return disconnects;
+        });
+        auto positionOf = [&](const WaitingCall& call) {
+            auto queueClass = byQueueClass ? queueClassOf(false, call.arrived, latencyTarget, now) : QueueClass::InTime;
+            return QueuePosition { 0, queueClass, call.number };
+        };
+        std::sort(calls.begin(), calls.end(), [&](const WaitingCall& left, const WaitingCall& right) { return positionOf(left) < positionOf(right); });
+        if (tick % 2) {
+            result.servedInTime += now < calls.front().arrived + latencyTarget ? 1 : 0;
+            calls.erase(calls.begin());
+        }
+        if (!byQueueClass)
+            continue;
+        standingQueues.beginPass(now);
+        std::erase_if(calls, [&](const WaitingCall& call) {
+            bool refused = positionOf(call).queueClass == QueueClass::Late && standingQueues.shouldRefuseLate(queueKey);
+            if (refused)
+                result.longestWaitBeforeRefusal = std::max<base::Duration>(result.longestWaitBeforeRefusal, now - call.arrived);
+            result.refused += refused ? 1 : 0;
+            return refused;
+        });
+        standingQueues.endPass();
+    }
+    return result;
+}
+
+} // namespace
+
+TEST_GROUP(QueueDiscipline) {};
+
+// Guards against overload in FIFO order. For seconds, twice as many calls arrived for one model as its engines could run.
+// Each call waited until it was late, the engines ran only late calls, and half of the callers disconnected after two seconds
+// without an answer.
+TEST(QueueDiscipline, UnderOverloadEnginesRunCallsThatAreInTime)
+{
+    Overload firstInFirstOut = simulateOverload(false);
+    Overload byQueueClass = simulateOverload(true);
+    CHECK_TRUE(firstInFirstOut.servedInTime < 40);
+    CHECK_TRUE(firstInFirstOut.disconnected > 100);
+    CHECK_TRUE(byQueueClass.servedInTime > 180);
+    LONGS_EQUAL(0, byQueueClass.disconnected);
+    CHECK_TRUE(byQueueClass.refused > 100);
+    CHECK_TRUE(byQueueClass.longestWaitBeforeRefusal < callerAbandonTimeout);
+}
+
+TEST(QueueDiscipline, AStartedStreamGoesFirstAndALateCallLast)
+{
+    QueuePosition started { 1, queueClassOf(true, start, latencyTarget, start + callerAbandonTimeout), 3 };
+    QueuePosition inTime { 1, queueClassOf(false, start, latencyTarget, start), 2 };
+    QueuePosition late { 1, queueClassOf(false, start, latencyTarget, start + latencyTarget), 1 };
+    CHECK_TRUE(started < inTime);
+    CHECK_TRUE(inTime < late);
+    CHECK_TRUE(queueClassOf(false, start, {}, start + callerAbandonTimeout) == QueueClass::InTime);
+    // A more urgent priority goes before all of them.
+    CHECK_TRUE((QueuePosition { 0, QueueClass::Late, 9 }) < started);
+}
+
+TEST(QueueDiscipline, AShortBurstCausesNoRefusals)
+{
+    StandingQueueDetector standingQueues;
+    for (int pass = 0; pass < 9; ++pass) {
+        standingQueues.beginPass(start + pass * std::chrono::milliseconds(100));
+        CHECK_FALSE(standingQueues.shouldRefuseLate(queueKey));
+        standingQueues.endPass();
+    }
+    // The queue was empty in this pass.
+    standingQueues.beginPass(start + std::chrono::milliseconds(900));
+    standingQueues.endPass();
+    standingQueues.beginPass(start + std::chrono::milliseconds(1500));
+    CHECK_FALSE(standingQueues.shouldRefuseLate(queueKey));
+}
+
+// Guards against a model that stays unloaded because its callers are refused at once. A model that was on a disk was loaded
+// nowhere for eleven seconds: no load was expected within its callers' time, so they were refused on arrival and none waited,
+// and the planner evicts and loads only for waiting callers.
+TEST(QueueDiscipline, CallsRefusedAtOnceStillCountAsDemand)
+{
+    DemandTracker demand;
+    ModelTarget target { base::ModelId("m"), AdapterId() };
+    demand.onArrival(target, start);
+    demand.onRefused(target, start + callerAbandonTimeout);
+    LONGS_EQUAL(1, demand.summary(start + latencyTarget).front().waiting);
+    LONGS_EQUAL(0, demand.summary(start + callerAbandonTimeout).front().waiting);
+}
