--- a/bench/state_slope.cpp
+++ b/bench/state_slope.cpp
@@ -9,7 +9,7 @@
 #include "toucanstep/base/Text.h"
 #include "toucanstep/config/Delta.h"
 #include "toucanstep/config/Parser.h"
-#include "toucanstep/limits/ChargePlanner.h"
+#include "toucanstep/limits/ChargeCoordinator.h"
 #include "toucanstep/limits/ShareTable.h"
 
 #include <cstdlib>
@@ -227,7 +227,7 @@
         bool large = largeEvery && request % largeEvery == 0;
         base::Tokens cost(large ? 6'000'000 / shares + 1000 : 1500);
         limits::PlannerOptions options { .self = self };
-        limits::ChargePlanner planner(options, { base::RequestId(base::concat("r", request)), chargedAccount, cost, now + std::chrono::seconds(1) }, views);
+        limits::ChargeCoordinator planner(options, { base::RequestId(base::concat("r", request)), chargedAccount, cost, now + std::chrono::seconds(1) }, views);
         auto started = planner.start(now);
         std::deque<limits::AddressedMessage> queue(started.begin(), started.end());
         while (!queue.empty()) {
--- a/packages/gateway/src/ShareLimitGate.cpp
+++ b/packages/gateway/src/ShareLimitGate.cpp
@@ -120,7 +120,7 @@
     base::Instant at = now();
     limits::PlannerOptions options;
     options.self = m_agent.self().instance;
-    auto charging = std::make_unique<Charging>(Charging { limits::ChargePlanner(options, order, viewsOf(order.account, at)), std::move(callback), order.account });
+    auto charging = std::make_unique<Charging>(Charging { limits::ChargeCoordinator(options, order, viewsOf(order.account, at)), std::move(callback), order.account });
     Charging& added = *charging;
     m_charging.emplace(order.request, std::move(charging));
     advance(order.request, added.planner.start(at));
--- a/packages/gateway/src/ShareLimitGate.h
+++ b/packages/gateway/src/ShareLimitGate.h
@@ -4,7 +4,7 @@
 #pragma once
 
 #include "LimitGate.h"
-#include "toucanstep/limits/ChargePlanner.h"
+#include "toucanstep/limits/ChargeCoordinator.h"
 #include "toucanstep/limits/ShareTable.h"
 #include "toucanstep/node/AssignmentAgent.h"
 
@@ -39,7 +39,7 @@
 
 private:
     struct Charging {
-        limits::ChargePlanner planner;
+        limits::ChargeCoordinator planner;
         Callback callback;
         base::ClientAccountId account;
         io::EventLoop::TimerId timer = 0;
--- a/packages/limits/include/toucanstep/limits/AdmissionPolicy.h
+++ b/packages/limits/include/toucanstep/limits/AdmissionPolicy.h
@@ -6,7 +6,7 @@
 
 #pragma once
 
-#include "toucanstep/limits/ChargePlanner.h"
+#include "toucanstep/limits/ChargeCoordinator.h"
 #include "toucanstep/limits/ShareTable.h"
 
 #include <absl/container/flat_hash_map.h>
--- a/packages/limits/include/toucanstep/limits/ChargePlanner.h
+++ b/packages/limits/include/toucanstep/limits/ChargeCoordinator.h
@@ -4,7 +4,7 @@
 // from all shares in their fixed order. It is a state machine: start(), onReply() and onTick() return the messages to
 // send, and outcome() is set once the request is admitted or refused. The caller calls onTick() at nextWakeUp().
 //
-//     ChargePlanner planner(options, { request, account, cost, deadline }, shares);
+//     ChargeCoordinator planner(options, { request, account, cost, deadline }, shares);
 //     send(planner.start(now));
 
 #pragma once
@@ -78,10 +78,10 @@
 // Gives `unused` tokens of an admitted request back, the last part first.
 std::vector<AddressedMessage> returnUnused(const std::vector<ChargedPart>&, base::Tokens unused);
 
-class ChargePlanner {
+class ChargeCoordinator {
 public:
     // `shares` are all shares of the account; the sum of their bursts is the account's burst.
-    ChargePlanner(PlannerOptions, ChargeOrder, std::vector<ShareView> shares);
+    ChargeCoordinator(PlannerOptions, ChargeOrder, std::vector<ShareView> shares);
 
     std::vector<AddressedMessage> start(base::Instant now);
     std::vector<AddressedMessage> onReply(const ChargeReply&, base::Instant now);
--- a/packages/limits/src/ChargePlanner.cpp
+++ b/packages/limits/src/ChargeCoordinator.cpp
@@ -1,4 +1,4 @@
-#include "toucanstep/limits/ChargePlanner.h"
+#include "toucanstep/limits/ChargeCoordinator.h"
 
 #include "toucanstep/base/Text.h"
 
@@ -44,7 +44,7 @@
     return messages;
 }
 
-ChargePlanner::ChargePlanner(PlannerOptions options, ChargeOrder order, std::vector<ShareView> shares)
+ChargeCoordinator::ChargeCoordinator(PlannerOptions options, ChargeOrder order, std::vector<ShareView> shares)
     : m_options(std::move(options))
     , m_order(std::move(order))
     , m_shares(std::move(shares))
@@ -53,7 +53,7 @@
     std::sort(m_shares.begin(), m_shares.end(), [](const ShareView& left, const ShareView& right) { return left.hint.share < right.hint.share; });
 }
 
-std::vector<AddressedMessage> ChargePlanner::start(base::Instant now)
+std::vector<AddressedMessage> ChargeCoordinator::start(base::Instant now)
 {
     m_startedAt = now;
     base::Tokens burst;
@@ -68,7 +68,7 @@
     return takeOutput();
 }
 
-std::vector<AddressedMessage> ChargePlanner::onReply(const ChargeReply& reply, base::Instant now)
+std::vector<AddressedMessage> ChargeCoordinator::onReply(const ChargeReply& reply, base::Instant now)
 {
     // An answer that was given up, or came twice, is not used: its charge has been returned or already counted.
     if (m_outcome || !m_pending || m_pending->request.charge != reply.charge)
@@ -99,7 +99,7 @@
     return takeOutput();
 }
 
-std::vector<AddressedMessage> ChargePlanner::onTick(base::Instant now)
+std::vector<AddressedMessage> ChargeCoordinator::onTick(base::Instant now)
 {
     if (m_outcome)
         return {};
@@ -117,7 +117,7 @@
     return takeOutput();
 }
 
-std::optional<base::Instant> ChargePlanner::nextWakeUp() const
+std::optional<base::Instant> ChargeCoordinator::nextWakeUp() const
 {
     if (m_outcome)
         return std::nullopt;
@@ -129,7 +129,7 @@
     return next;
 }
 
-void ChargePlanner::proceed(base::Instant now)
+void ChargeCoordinator::proceed(base::Instant now)
 {
     if (m_chargesSent >= maximumCharges)
         refuseWith(base::RefusalCode::RateLimited, coveredAt(now));
@@ -141,7 +141,7 @@
 
 // A share that is asked for the whole cost and lacks it gives nothing but its exact stock. So a request that can't be
 // covered takes nothing from anybody while it finds that out.
-void ChargePlanner::askWhole(base::Instant now)
+void ChargeCoordinator::askWhole(base::Instant now)
 {
     std::optional<size_t> best = fullestUnasked(now);
     bool bestCovers = best && wholeExpected(m_shares[*best], now) >= m_order.cost;
@@ -157,7 +157,7 @@
     ask(*best, m_order.cost, m_order.cost, base::Duration::zero(), now);
 }
 
-void ChargePlanner::beginGather(base::Instant now)
+void ChargeCoordinator::beginGather(base::Instant now)
 {
     m_phase = Phase::Gather;
     m_nextInPass = 0;
@@ -165,7 +165,7 @@
     continueGather(now);
 }
 
-void ChargePlanner::continueGather(base::Instant now)
+void ChargeCoordinator::continueGather(base::Instant now)
 {
     std::optional<size_t> next = nextReachable(m_nextInPass);
     if (!next) {
@@ -180,7 +180,7 @@
     ask(*next, base::Tokens(1), wanted, asksTurn ? m_options.gatherWindow : base::Duration::zero(), now);
 }
 
-void ChargePlanner::finishPass(base::Instant now)
+void ChargeCoordinator::finishPass(base::Instant now)
 {
     // Tokens that accrued at the first holders while the last ones were asked may be enough by now.
     if (expectedTotal(now) + gathered() >= m_order.cost && now - m_oldestPartSentAt < m_options.gatherWindow) {
@@ -201,14 +201,14 @@
     refuseOrWait(now);
 }
 
-void ChargePlanner::finishGather()
+void ChargeCoordinator::finishGather()
 {
     giveBackParts();
     endTurn();
     m_turnWantedAt.reset();
 }
 
-void ChargePlanner::restart(base::Instant now)
+void ChargeCoordinator::restart(base::Instant now)
 {
     finishGather();
     if (++m_restarts > maximumRestarts) {
@@ -220,7 +220,7 @@
     proceed(now);
 }
 
-void ChargePlanner::refuseOrWait(base::Instant now)
+void ChargeCoordinator::refuseOrWait(base::Instant now)
 {
     std::optional<base::Instant> at = coveredAt(now);
     base::Instant waitLimit = std::min(m_startedAt + m_options.maximumWait, m_order.deadline);
@@ -234,7 +234,7 @@
     m_resumeAt = std::max(*at, now + base::Duration(1));
 }
 
-void ChargePlanner::refuseWith(base::RefusalCode code, std::optional<base::Instant> retryAt)
+void ChargeCoordinator::refuseWith(base::RefusalCode code, std::optional<base::Instant> retryAt)
 {
     giveBackParts();
     endTurn();
@@ -242,7 +242,7 @@
     m_outcome = ChargeRefused { code, retryAt, missing };
 }
 
-void ChargePlanner::ask(size_t share, base::Tokens minimum, base::Tokens wanted, base::Duration turn, base::Instant now)
+void ChargeCoordinator::ask(size_t share, base::Tokens minimum, base::Tokens wanted, base::Duration turn, base::Instant now)
 {
     const ShareView& view = m_shares[share];
     ChargeId id(base::concat(m_order.request, "/", m_nextCharge++));
@@ -255,7 +255,7 @@
 // Failure guarded against: the holder charged, but its answer was lost. Asking again under the same id charges nothing
 // twice. If that answer is lost too, the charge counts as spent: the request goes on at other shares and never uses a late
 // answer, so returning the charge, should the return arrive, gives back only what nobody was admitted with.
-void ChargePlanner::onAnswerTimeout(base::Instant now)
+void ChargeCoordinator::onAnswerTimeout(base::Instant now)
 {
     if (!m_pending->retried) {
         m_pending->retried = true;
@@ -268,13 +268,13 @@
     proceed(now);
 }
 
-void ChargePlanner::returnCharge(const Pending& pending)
+void ChargeCoordinator::returnCharge(const Pending& pending)
 {
     const ChargeRequest& request = pending.request;
     m_output.push_back({ m_shares[pending.share].holder, ChargeReturn { request.charge, request.share, request.epoch, request.wanted } });
 }
 
-void ChargePlanner::abandonPending()
+void ChargeCoordinator::abandonPending()
 {
     if (!m_pending)
         return;
@@ -286,7 +286,7 @@
     m_pending.reset();
 }
 
-void ChargePlanner::giveBackParts()
+void ChargeCoordinator::giveBackParts()
 {
     for (const auto& part : m_parts) {
         m_output.push_back({ part.holder, ChargeReturn { part.charge, part.share, part.epoch, part.amount } });
@@ -298,7 +298,7 @@
     m_parts.clear();
 }
 
-void ChargePlanner::endTurn()
+void ChargeCoordinator::endTurn()
 {
     if (!m_turnAt)
         return;
@@ -307,7 +307,7 @@
     m_turnAt.reset();
 }
 
-void ChargePlanner::noteHint(size_t share, const ChargeReply& reply, base::Instant now)
+void ChargeCoordinator::noteHint(size_t share, const ChargeReply& reply, base::Instant now)
 {
     ShareView& view = m_shares[share];
     if (reply.result == ChargeResult::NotHolder) {
@@ -318,7 +318,7 @@
     view.observedAt = now;
 }
 
-void ChargePlanner::onGranted(const Pending& answered, const ChargeReply& reply, base::Instant now)
+void ChargeCoordinator::onGranted(const Pending& answered, const ChargeReply& reply, base::Instant now)
 {
     const ChargeRequest& request = answered.request;
     if (request.turn > base::Duration::zero())
@@ -336,7 +336,7 @@
     }
 }
 
-void ChargePlanner::onBusy(const ChargeReply& reply, base::Instant now)
+void ChargeCoordinator::onBusy(const ChargeReply& reply, base::Instant now)
 {
     if (!m_turnWantedAt)
         m_turnWantedAt = now;
@@ -347,7 +347,7 @@
     m_resumeAt = now + std::max(reply.retryAfter, base::Duration(1));
 }
 
-std::optional<size_t> ChargePlanner::fullestUnasked(base::Instant now) const
+std::optional<size_t> ChargeCoordinator::fullestUnasked(base::Instant now) const
 {
     std::optional<size_t> best;
     std::optional<size_t> own;
@@ -365,7 +365,7 @@
     return best;
 }
 
-std::optional<size_t> ChargePlanner::nextReachable(size_t from) const
+std::optional<size_t> ChargeCoordinator::nextReachable(size_t from) const
 {
     for (size_t index = from; index < m_shares.size(); ++index) {
         if (m_shares[index].reachable)
@@ -374,7 +374,7 @@
     return std::nullopt;
 }
 
-base::Tokens ChargePlanner::gathered() const
+base::Tokens ChargeCoordinator::gathered() const
 {
     base::Tokens sum;
     for (const auto& part : m_parts)
@@ -382,7 +382,7 @@
     return sum;
 }
 
-base::Tokens ChargePlanner::levelAfterGather(base::Instant now) const
+base::Tokens ChargeCoordinator::levelAfterGather(base::Instant now) const
 {
     auto yieldsCost = [&](int64_t level) {
         base::Tokens sum;
@@ -402,7 +402,7 @@
     return base::Tokens(low);
 }
 
-base::Tokens ChargePlanner::expectedTotal(base::Instant now) const
+base::Tokens ChargeCoordinator::expectedTotal(base::Instant now) const
 {
     base::Tokens sum;
     for (const auto& share : m_shares)
@@ -410,7 +410,7 @@
     return sum;
 }
 
-std::optional<base::Instant> ChargePlanner::coveredAt(base::Instant now) const
+std::optional<base::Instant> ChargeCoordinator::coveredAt(base::Instant now) const
 {
     base::Instant late = now;
     for (const auto& share : m_shares) {
@@ -433,7 +433,7 @@
     return late;
 }
 
-std::vector<AddressedMessage> ChargePlanner::takeOutput()
+std::vector<AddressedMessage> ChargeCoordinator::takeOutput()
 {
     return std::exchange(m_output, {});
 }
--- a/packages/limits/src/SharePolicy.cpp
+++ b/packages/limits/src/SharePolicy.cpp
@@ -10,7 +10,7 @@
 // own timeout.
 class PlannerDriver {
 public:
-    PlannerDriver(ChargePlanner& planner, ChargeExchange& exchange, base::Instant now)
+    PlannerDriver(ChargeCoordinator& planner, ChargeExchange& exchange, base::Instant now)
         : m_planner(planner)
         , m_exchange(exchange)
         , m_now(now)
@@ -49,7 +49,7 @@
             queue(m_planner.onReply(*reply, m_now));
     }
 
-    ChargePlanner& m_planner;
+    ChargeCoordinator& m_planner;
     ChargeExchange& m_exchange;
     base::Instant m_now;
     std::deque<AddressedMessage> m_queue;
@@ -65,7 +65,7 @@
 
 PolicyDecision SharePolicy::admit(const ChargeOrder& order, base::Instant now)
 {
-    ChargePlanner planner(m_options, order, m_exchange.shares(order.account, now));
+    ChargeCoordinator planner(m_options, order, m_exchange.shares(order.account, now));
     PlannerDriver(planner, m_exchange, now).run();
     if (const auto* refused = std::get_if<ChargeRefused>(&*planner.outcome()))
         return { false, refused->code, refused->retryAt };
--- a/packages/limits/test/LimitsFleet.h
+++ b/packages/limits/test/LimitsFleet.h
@@ -5,7 +5,7 @@
 
 #include "WindowOracle.h"
 #include "toucanstep/base/Text.h"
-#include "toucanstep/limits/ChargePlanner.h"
+#include "toucanstep/limits/ChargeCoordinator.h"
 #include "toucanstep/limits/ShareTable.h"
 
 #include <map>
@@ -66,7 +66,7 @@
             return request;
         options.self = gatewayId(gateway);
         ChargeOrder order { base::RequestId(base::concat("r", request)), account(), base::Tokens(cost), m_now + timeout };
-        Running running { gateway, std::make_unique<ChargePlanner>(options, order, views(gateway)) };
+        Running running { gateway, std::make_unique<ChargeCoordinator>(options, order, views(gateway)) };
         auto messages = running.planner->start(m_now);
         m_planners.emplace(request, std::move(running));
         enqueue(request, gateway, std::move(messages));
@@ -206,7 +206,7 @@
     };
     struct Running {
         int gateway = 0;
-        std::unique_ptr<ChargePlanner> planner;
+        std::unique_ptr<ChargeCoordinator> planner;
     };
     struct Packet {
         int from = 0;
--- a/packages/limits/test/LimitsTest.cpp
+++ b/packages/limits/test/LimitsTest.cpp
@@ -431,7 +431,7 @@
     holder.take(share, Epoch(1), limitsOf(10, 100), start);
     Instant now = start + seconds(10);
     ShareView view { InstanceId("g"), holder.hints(now).at(0), now };
-    ChargePlanner planner({}, { RequestId("r"), ClientAccountId("farm"), Tokens(60), now + seconds(1) }, { view });
+    ChargeCoordinator planner({}, { RequestId("r"), ClientAccountId("farm"), Tokens(60), now + seconds(1) }, { view });
     auto asked = planner.start(now);
     ChargeReply reply = holder.onCharge(std::get<ChargeRequest>(asked.at(0).message), now);
     LONGS_EQUAL(static_cast<int>(ChargeResult::Granted), static_cast<int>(reply.result));
--- a/samples/limits_sample.cpp
+++ b/samples/limits_sample.cpp
@@ -3,7 +3,7 @@
 // Each gateway holds one share of the account. A request at the first gateway is charged whole before it runs, to
 // whichever share has the tokens; here the messages are plain function calls.
 
-#include "toucanstep/limits/ChargePlanner.h"
+#include "toucanstep/limits/ChargeCoordinator.h"
 #include "toucanstep/limits/ShareTable.h"
 
 #include <deque>
@@ -45,7 +45,7 @@
     ChargeOutcome admit(const std::string& request, int64_t cost)
     {
         PlannerOptions options { .self = InstanceId("gateway-1") };
-        ChargePlanner planner(options, { RequestId(request), account, Tokens(cost), now + seconds(1) }, views());
+        ChargeCoordinator planner(options, { RequestId(request), account, Tokens(cost), now + seconds(1) }, views());
         auto started = planner.start(now);
         std::deque<AddressedMessage> queue(started.begin(), started.end());
         while (!queue.empty()) {
@@ -57,7 +57,7 @@
         return *planner.outcome();
     }
 
-    std::vector<AddressedMessage> deliver(ChargePlanner& planner, const AddressedMessage& addressed)
+    std::vector<AddressedMessage> deliver(ChargeCoordinator& planner, const AddressedMessage& addressed)
     {
         ShareTable& table = gateways.at(addressed.to);
         if (const auto* charge = std::get_if<ChargeRequest>(&addressed.message))
