--- a/bench/limits_policies.cpp
+++ b/bench/limits_policies.cpp
@@ -247,7 +247,7 @@
             return std::make_unique<LeasePolicy>(m_bucket, 8);
         if (policy == "central")
             return std::make_unique<CentralPolicy>(m_counter, 5);
-        PlannerOptions options { .ownShareMargin = ownShareMargin, .self = InstanceId(std::to_string(gateway)) };
+        ChargeOptions options { .ownShareMargin = ownShareMargin, .self = InstanceId(std::to_string(gateway)) };
         return std::make_unique<SharePolicy>(options, *m_exchanges[gateway]);
     }
 
--- a/bench/state_slope.cpp
+++ b/bench/state_slope.cpp
@@ -226,7 +226,7 @@
         now += std::chrono::milliseconds(100);
         bool large = largeEvery && request % largeEvery == 0;
         base::Tokens cost(large ? 6'000'000 / shares + 1000 : 1500);
-        limits::PlannerOptions options { .self = self };
+        limits::ChargeOptions options { .self = self };
         limits::ChargeCoordinator planner(options, { base::RequestId(base::concat("r", request)), chargedAccount, cost, now + std::chrono::seconds(1) }, views);
         auto started = planner.start(now);
         std::deque<limits::AddressedMessage> queue(started.begin(), started.end());
--- a/packages/cli/src/Explanation.cpp
+++ b/packages/cli/src/Explanation.cpp
@@ -120,7 +120,7 @@
     std::optional<base::Refusal> charge()
     {
         ReachableShares shares(*m_account, start);
-        limits::SharePolicy policy(limits::PlannerOptions {}, shares);
+        limits::SharePolicy policy(limits::ChargeOptions {}, shares);
         limits::PolicyDecision decision = policy.admit({ base::RequestId("dry-run"), m_account->id, cost(), m_deadline }, present);
         m_output << "limits: cost " << cost() << " tokens against a burst of " << m_account->burst << " and " << m_account->tokensPerSecond
                  << " a second: " << (decision.admitted ? "admitted" : "refused") << "\n";
--- a/packages/gateway/src/ShareLimitGate.cpp
+++ b/packages/gateway/src/ShareLimitGate.cpp
@@ -118,7 +118,7 @@
 void ShareLimitGate::charge(const limits::ChargeOrder& order, Callback callback)
 {
     base::Instant at = now();
-    limits::PlannerOptions options;
+    limits::ChargeOptions options;
     options.self = m_agent.self().instance;
     auto charging = std::make_unique<Charging>(Charging { limits::ChargeCoordinator(options, order, viewsOf(order.account, at)), std::move(callback), order.account });
     Charging& added = *charging;
--- a/packages/history/include/toucanstep/history/Checkers.h
+++ b/packages/history/include/toucanstep/history/Checkers.h
@@ -34,7 +34,7 @@
 };
 
 struct CheckOptions {
-    // How much later than its tokens were charged a request may be admitted (see limits::PlannerOptions::gatherWindow).
+    // How much later than its tokens were charged a request may be admitted (see limits::ChargeOptions::gatherWindow).
     base::Duration admissionDelay = std::chrono::milliseconds(100);
     base::Duration withdrawnKeyGrace = std::chrono::seconds(3);
     base::Duration leavingGrace = std::chrono::seconds(3);
--- a/packages/limits/include/toucanstep/limits/AdmissionPolicy.h
+++ b/packages/limits/include/toucanstep/limits/AdmissionPolicy.h
@@ -42,14 +42,14 @@
 // Shares: the whole cost is charged to the holders of the account's shares.
 class SharePolicy final : public AdmissionPolicy {
 public:
-    SharePolicy(PlannerOptions, ChargeExchange&);
+    SharePolicy(ChargeOptions, ChargeExchange&);
     // Limits reach the holders through their ShareTable.
     void setLimits(const base::ClientAccountId&, BucketLimits, base::Instant) override { }
     PolicyDecision admit(const ChargeOrder&, base::Instant now) override;
     void settle(const base::RequestId&, base::Tokens unused, base::Instant now) override;
 
 private:
-    PlannerOptions m_options;
+    ChargeOptions m_options;
     ChargeExchange& m_exchange;
     absl::flat_hash_map<base::RequestId, std::vector<ChargedPart>> m_admitted;
 };
--- a/packages/limits/include/toucanstep/limits/ChargeCoordinator.h
+++ b/packages/limits/include/toucanstep/limits/ChargeCoordinator.h
@@ -30,7 +30,7 @@
     TokenNanos expectedStock(base::Instant now) const;
 };
 
-struct PlannerOptions {
+struct ChargeOptions {
     // How long a holder may take to answer before the same charge is sent again, and before it counts as unreachable.
     base::Duration answerTimeout = std::chrono::milliseconds(20);
     // Tokens older than this when the last part arrives are given back instead of used: a request that is admitted late
@@ -81,7 +81,7 @@
 class ChargeCoordinator {
 public:
     // `shares` are all shares of the account; the sum of their bursts is the account's burst.
-    ChargeCoordinator(PlannerOptions, ChargeOrder, std::vector<ShareView> shares);
+    ChargeCoordinator(ChargeOptions, ChargeOrder, std::vector<ShareView> shares);
 
     std::vector<AddressedMessage> start(base::Instant now);
     std::vector<AddressedMessage> onReply(const ChargeReply&, base::Instant now);
@@ -135,7 +135,7 @@
     std::optional<base::Instant> coveredAt(base::Instant now) const;
     std::vector<AddressedMessage> takeOutput();
 
-    PlannerOptions m_options;
+    ChargeOptions m_options;
     ChargeOrder m_order;
     // In the order of their indexes, which is the order of gathering at every gateway.
     std::vector<ShareView> m_shares;
--- a/packages/limits/src/SharePolicy.cpp
+++ b/packages/limits/src/SharePolicy.cpp
@@ -57,7 +57,7 @@
 
 } // namespace
 
-SharePolicy::SharePolicy(PlannerOptions options, ChargeExchange& exchange)
+SharePolicy::SharePolicy(ChargeOptions options, ChargeExchange& exchange)
     : m_options(std::move(options))
     , m_exchange(exchange)
 {
--- a/packages/limits/test/LimitsFleet.h
+++ b/packages/limits/test/LimitsFleet.h
@@ -59,7 +59,7 @@
         }
     }
 
-    int offer(int gateway, int64_t cost, base::Duration timeout = std::chrono::seconds(2), PlannerOptions options = {})
+    int offer(int gateway, int64_t cost, base::Duration timeout = std::chrono::seconds(2), ChargeOptions options = {})
     {
         int request = m_nextRequest++;
         if (!m_gateways[gateway].up)
--- a/packages/limits/test/LimitsTest.cpp
+++ b/packages/limits/test/LimitsTest.cpp
@@ -122,7 +122,7 @@
         std::string byCharge = fleet.usesByCharge().firstBreak();
         if (!byCharge.empty())
             RC_FAIL("by charge: " + byCharge);
-        std::string byAdmission = fleet.usesByAdmission().firstBreak(PlannerOptions {}.gatherWindow);
+        std::string byAdmission = fleet.usesByAdmission().firstBreak(ChargeOptions {}.gatherWindow);
         if (!byAdmission.empty())
             RC_FAIL("by admission: " + byAdmission);
     });
--- a/samples/limits_sample.cpp
+++ b/samples/limits_sample.cpp
@@ -44,7 +44,7 @@
 
     ChargeOutcome admit(const std::string& request, int64_t cost)
     {
-        PlannerOptions options { .self = InstanceId("gateway-1") };
+        ChargeOptions options { .self = InstanceId("gateway-1") };
         ChargeCoordinator planner(options, { RequestId(request), account, Tokens(cost), now + seconds(1) }, views());
         auto started = planner.start(now);
         std::deque<AddressedMessage> queue(started.begin(), started.end());
