--- a/bench/limits_policies.cpp
+++ b/bench/limits_policies.cpp
@@ -119,7 +119,7 @@
         }
     }
 
-    class Exchange final : public ChargeExchange {
+    class Exchange final : public ChargeTransport {
     public:
         Exchange(Shares& shares, int self)
             : m_shares(shares)
--- a/packages/cli/src/Explanation.cpp
+++ b/packages/cli/src/Explanation.cpp
@@ -25,7 +25,7 @@
 }
 
 // The shares of one account at three gateways, all reachable.
-class ReachableShares final : public limits::ChargeExchange {
+class ReachableShares final : public limits::ChargeTransport {
 public:
     ReachableShares(const config::ClientAccount& account, base::Instant since)
     {
--- a/packages/limits/include/toucanstep/limits/AdmissionPolicy.h
+++ b/packages/limits/include/toucanstep/limits/AdmissionPolicy.h
@@ -30,9 +30,9 @@
 };
 
 // Carries a message to a holder and waits for its reply; nothing where no reply came in time.
-class ChargeExchange {
+class ChargeTransport {
 public:
-    virtual ~ChargeExchange() = default;
+    virtual ~ChargeTransport() = default;
     virtual std::optional<ChargeReply> charge(const base::InstanceId& to, const ChargeRequest&) = 0;
     virtual void send(const base::InstanceId& to, const ChargeMessage&) = 0;
     // The shares of an account with their holders and latest hints.
@@ -42,7 +42,7 @@
 // Shares: the whole cost is charged to the holders of the account's shares.
 class SharePolicy final : public AdmissionPolicy {
 public:
-    SharePolicy(ChargeOptions, ChargeExchange&);
+    SharePolicy(ChargeOptions, ChargeTransport&);
     // Limits reach the holders through their ShareTable.
     void setLimits(const base::ClientAccountId&, BucketLimits, base::Instant) override { }
     PolicyDecision admit(const ChargeOrder&, base::Instant now) override;
@@ -50,7 +50,7 @@
 
 private:
     ChargeOptions m_options;
-    ChargeExchange& m_exchange;
+    ChargeTransport& m_exchange;
     absl::flat_hash_map<base::RequestId, std::vector<ChargedPart>> m_admitted;
 };
 
--- a/packages/limits/src/SharePolicy.cpp
+++ b/packages/limits/src/SharePolicy.cpp
@@ -10,7 +10,7 @@
 // own timeout.
 class PlannerDriver {
 public:
-    PlannerDriver(ChargeCoordinator& planner, ChargeExchange& exchange, base::Instant now)
+    PlannerDriver(ChargeCoordinator& planner, ChargeTransport& exchange, base::Instant now)
         : m_planner(planner)
         , m_exchange(exchange)
         , m_now(now)
@@ -50,14 +50,14 @@
     }
 
     ChargeCoordinator& m_planner;
-    ChargeExchange& m_exchange;
+    ChargeTransport& m_exchange;
     base::Instant m_now;
     std::deque<AddressedMessage> m_queue;
 };
 
 } // namespace
 
-SharePolicy::SharePolicy(ChargeOptions options, ChargeExchange& exchange)
+SharePolicy::SharePolicy(ChargeOptions options, ChargeTransport& exchange)
     : m_options(std::move(options))
     , m_exchange(exchange)
 {
