--- a/bench/limits_policies.cpp
+++ b/bench/limits_policies.cpp
@@ -334,7 +334,7 @@
         // The platform's balancer sends nothing to a dead gateway.
         int gateway = m_fleet.surroundings().up[arrival.gateway] ? arrival.gateway : 0;
         Tokens cost(arrival.cost);
-        ChargeOrder order { request, account, cost, arrival.at + seconds(5) };
+        AccountCharge order { request, account, cost, arrival.at + seconds(5) };
         bool entitled = m_exact.charge(ChargeId(request.value()), cost, cost, arrival.at) == cost;
         bool admitted = m_fleet.at(gateway).admit(order, arrival.at).admitted;
         if (entitled || admitted)
--- a/packages/gateway/src/GatewayCore.cpp
+++ b/packages/gateway/src/GatewayCore.cpp
@@ -141,7 +141,7 @@
         refuse(added, *quarantined);
         return;
     }
-    limits::ChargeOrder order { id, added.request.account, added.request.cost(), added.request.deadline };
+    limits::AccountCharge order { id, added.request.account, added.request.cost(), added.request.deadline };
     m_limits->charge(order, [this, id](const std::optional<base::Refusal>& refusal) { onCharged(id, refusal); });
 }
 
--- a/packages/gateway/src/LimitGate.h
+++ b/packages/gateway/src/LimitGate.h
@@ -23,7 +23,7 @@
     virtual ~LimitGate() = default;
     virtual void onConfiguration(const config::Configuration&, base::Instant now) = 0;
     // Calls back exactly once, at once or later.
-    virtual void charge(const limits::ChargeOrder&, Callback) = 0;
+    virtual void charge(const limits::AccountCharge&, Callback) = 0;
     // An admitted request has ended; `unused` tokens go back.
     virtual void settle(const base::RequestId&, base::Tokens unused) = 0;
 };
--- a/packages/gateway/src/ShareLimitGate.cpp
+++ b/packages/gateway/src/ShareLimitGate.cpp
@@ -115,7 +115,7 @@
     return views;
 }
 
-void ShareLimitGate::charge(const limits::ChargeOrder& order, Callback callback)
+void ShareLimitGate::charge(const limits::AccountCharge& order, Callback callback)
 {
     base::Instant at = now();
     limits::ChargeOptions options;
--- a/packages/gateway/src/ShareLimitGate.h
+++ b/packages/gateway/src/ShareLimitGate.h
@@ -28,7 +28,7 @@
     void install();
 
     void onConfiguration(const config::Configuration&, base::Instant now) override;
-    void charge(const limits::ChargeOrder&, Callback) override;
+    void charge(const limits::AccountCharge&, Callback) override;
     void settle(const base::RequestId&, base::Tokens unused) override;
 
     // The rows have changed.
--- a/packages/gateway/src/StaticLimitGate.cpp
+++ b/packages/gateway/src/StaticLimitGate.cpp
@@ -41,7 +41,7 @@
         m_policy->setLimits(account.id, { account.tokensPerSecond, account.burst }, now);
 }
 
-void StaticLimitGate::charge(const limits::ChargeOrder& order, Callback callback)
+void StaticLimitGate::charge(const limits::AccountCharge& order, Callback callback)
 {
     base::Instant now = m_node.traffic().now();
     rebuild(now);
--- a/packages/gateway/src/StaticLimitGate.h
+++ b/packages/gateway/src/StaticLimitGate.h
@@ -12,7 +12,7 @@
     explicit StaticLimitGate(node::Node&);
 
     void onConfiguration(const config::Configuration&, base::Instant now) override;
-    void charge(const limits::ChargeOrder&, Callback) override;
+    void charge(const limits::AccountCharge&, Callback) override;
     void settle(const base::RequestId&, base::Tokens unused) override;
 
 private:
--- a/packages/limits/include/toucanstep/limits/AdmissionPolicy.h
+++ b/packages/limits/include/toucanstep/limits/AdmissionPolicy.h
@@ -24,7 +24,7 @@
 public:
     virtual ~AdmissionPolicy() = default;
     virtual void setLimits(const base::ClientAccountId&, BucketLimits whole, base::Instant now) = 0;
-    virtual PolicyDecision admit(const ChargeOrder&, base::Instant now) = 0;
+    virtual PolicyDecision admit(const AccountCharge&, base::Instant now) = 0;
     // The answer has ended: gives back what an admitted request did not use.
     virtual void settle(const base::RequestId&, base::Tokens unused, base::Instant now) = 0;
 };
@@ -45,7 +45,7 @@
     SharePolicy(ChargeOptions, ChargeTransport&);
     // Limits reach the holders through their ShareTable.
     void setLimits(const base::ClientAccountId&, BucketLimits, base::Instant) override { }
-    PolicyDecision admit(const ChargeOrder&, base::Instant now) override;
+    PolicyDecision admit(const AccountCharge&, base::Instant now) override;
     void settle(const base::RequestId&, base::Tokens unused, base::Instant now) override;
 
 private:
@@ -59,7 +59,7 @@
 public:
     StaticPolicy(int gatewayIndex, int gatewayCount);
     void setLimits(const base::ClientAccountId&, BucketLimits whole, base::Instant now) override;
-    PolicyDecision admit(const ChargeOrder&, base::Instant now) override;
+    PolicyDecision admit(const AccountCharge&, base::Instant now) override;
     void settle(const base::RequestId&, base::Tokens unused, base::Instant now) override;
 
 private:
@@ -89,7 +89,7 @@
     // `blocksPerBurst` blocks make up an account's burst.
     LeasePolicy(LeaseAuthority&, int64_t blocksPerBurst);
     void setLimits(const base::ClientAccountId&, BucketLimits whole, base::Instant now) override;
-    PolicyDecision admit(const ChargeOrder&, base::Instant now) override;
+    PolicyDecision admit(const AccountCharge&, base::Instant now) override;
     // Unused tokens come back into the lease, as long as it runs.
     void settle(const base::RequestId&, base::Tokens unused, base::Instant now) override;
 
@@ -127,7 +127,7 @@
     // Tries the swap `attempts` times before it refuses.
     CentralPolicy(CounterStore&, int attempts);
     void setLimits(const base::ClientAccountId&, BucketLimits whole, base::Instant now) override;
-    PolicyDecision admit(const ChargeOrder&, base::Instant now) override;
+    PolicyDecision admit(const AccountCharge&, base::Instant now) override;
     // Adds what was not used, up to the burst, by another compare-and-swap. Unlike a share this keeps no record of how
     // full the bucket was in between, so an account can get more than its bound.
     void settle(const base::RequestId&, base::Tokens unused, base::Instant now) override;
--- a/packages/limits/include/toucanstep/limits/ChargeCoordinator.h
+++ b/packages/limits/include/toucanstep/limits/ChargeCoordinator.h
@@ -44,7 +44,7 @@
     base::InstanceId self;
 };
 
-struct ChargeOrder {
+struct AccountCharge {
     base::RequestId request;
     base::ClientAccountId account;
     base::Tokens cost;
@@ -81,7 +81,7 @@
 class ChargeCoordinator {
 public:
     // `shares` are all shares of the account; the sum of their bursts is the account's burst.
-    ChargeCoordinator(ChargeOptions, ChargeOrder, std::vector<ShareView> shares);
+    ChargeCoordinator(ChargeOptions, AccountCharge, std::vector<ShareView> shares);
 
     std::vector<AddressedMessage> start(base::Instant now);
     std::vector<AddressedMessage> onReply(const ChargeReply&, base::Instant now);
@@ -136,7 +136,7 @@
     std::vector<AddressedMessage> takeOutput();
 
     ChargeOptions m_options;
-    ChargeOrder m_order;
+    AccountCharge m_order;
     // In the order of their indexes, which is the order of gathering at every gateway.
     std::vector<ShareView> m_shares;
     std::vector<bool> m_askedWhole;
--- a/packages/limits/src/CentralPolicy.cpp
+++ b/packages/limits/src/CentralPolicy.cpp
@@ -13,7 +13,7 @@
     m_limits[account] = whole;
 }
 
-PolicyDecision CentralPolicy::admit(const ChargeOrder& order, base::Instant now)
+PolicyDecision CentralPolicy::admit(const AccountCharge& order, base::Instant now)
 {
     auto limits = m_limits.find(order.account);
     if (limits == m_limits.end())
--- a/packages/limits/src/ChargeCoordinator.cpp
+++ b/packages/limits/src/ChargeCoordinator.cpp
@@ -44,7 +44,7 @@
     return messages;
 }
 
-ChargeCoordinator::ChargeCoordinator(ChargeOptions options, ChargeOrder order, std::vector<ShareView> shares)
+ChargeCoordinator::ChargeCoordinator(ChargeOptions options, AccountCharge order, std::vector<ShareView> shares)
     : m_options(std::move(options))
     , m_order(std::move(order))
     , m_shares(std::move(shares))
--- a/packages/limits/src/LeasePolicy.cpp
+++ b/packages/limits/src/LeasePolicy.cpp
@@ -15,7 +15,7 @@
     m_leased[account].whole = whole;
 }
 
-PolicyDecision LeasePolicy::admit(const ChargeOrder& order, base::Instant now)
+PolicyDecision LeasePolicy::admit(const AccountCharge& order, base::Instant now)
 {
     auto found = m_leased.find(order.account);
     if (found == m_leased.end())
--- a/packages/limits/src/SharePolicy.cpp
+++ b/packages/limits/src/SharePolicy.cpp
@@ -63,7 +63,7 @@
 {
 }
 
-PolicyDecision SharePolicy::admit(const ChargeOrder& order, base::Instant now)
+PolicyDecision SharePolicy::admit(const AccountCharge& order, base::Instant now)
 {
     ChargeCoordinator planner(m_options, order, m_exchange.shares(order.account, now));
     PlannerDriver(planner, m_exchange, now).run();
--- a/packages/limits/src/StaticPolicy.cpp
+++ b/packages/limits/src/StaticPolicy.cpp
@@ -16,7 +16,7 @@
         bucket->second.setLimits(slice, now);
 }
 
-PolicyDecision StaticPolicy::admit(const ChargeOrder& order, base::Instant now)
+PolicyDecision StaticPolicy::admit(const AccountCharge& order, base::Instant now)
 {
     auto found = m_buckets.find(order.account);
     if (found == m_buckets.end())
--- a/packages/limits/test/LimitsFleet.h
+++ b/packages/limits/test/LimitsFleet.h
@@ -65,7 +65,7 @@
         if (!m_gateways[gateway].up)
             return request;
         options.self = gatewayId(gateway);
-        ChargeOrder order { base::RequestId(base::concat("r", request)), account(), base::Tokens(cost), m_now + timeout };
+        AccountCharge order { base::RequestId(base::concat("r", request)), account(), base::Tokens(cost), m_now + timeout };
         Running running { gateway, std::make_unique<ChargeCoordinator>(options, order, views(gateway)) };
         auto messages = running.planner->start(m_now);
         m_planners.emplace(request, std::move(running));
