--- a/bench/limits_policies.cpp
+++ b/bench/limits_policies.cpp
@@ -144,8 +144,8 @@
                 return;
             if (const auto* back = std::get_if<ChargeReturn>(&message))
                 m_shares.m_tables[holder].onReturn(*back, m_shares.m_surroundings.now);
-            else if (const auto* end = std::get_if<TurnEnd>(&message))
-                m_shares.m_tables[holder].onTurnEnd(*end);
+            else if (const auto* end = std::get_if<GatherUnlock>(&message))
+                m_shares.m_tables[holder].onGatherUnlock(*end);
         }
         std::vector<ShareView> shares(const ClientAccountId&, Instant) override
         {
--- a/bench/state_slope.cpp
+++ b/bench/state_slope.cpp
@@ -242,7 +242,7 @@
             } else if (const auto* back = std::get_if<limits::ChargeReturn>(&next.message))
                 table.onReturn(*back, now);
             else
-                table.onTurnEnd(std::get<limits::TurnEnd>(next.message));
+                table.onGatherUnlock(std::get<limits::GatherUnlock>(next.message));
         }
         views = planner.shares();
     }
--- a/packages/cli/src/Explanation.cpp
+++ b/packages/cli/src/Explanation.cpp
@@ -44,8 +44,8 @@
     {
         if (const auto* back = std::get_if<limits::ChargeReturn>(&message))
             tableOf(to).onReturn(*back, present);
-        else if (const auto* end = std::get_if<limits::TurnEnd>(&message))
-            tableOf(to).onTurnEnd(*end);
+        else if (const auto* end = std::get_if<limits::GatherUnlock>(&message))
+            tableOf(to).onGatherUnlock(*end);
     }
     std::vector<limits::ShareView> shares(const base::ClientAccountId&, base::Instant now) override
     {
--- a/packages/gateway/src/ChargeCodec.cpp
+++ b/packages/gateway/src/ChargeCodec.cpp
@@ -12,7 +12,7 @@
 enum class MessageTag : int64_t {
     Request = 1,
     Return = 2,
-    TurnEnd = 3,
+    GatherUnlock = 3,
 };
 
 void write(FieldWriter& writer, const limits::ShareId& share)
@@ -32,7 +32,7 @@
 {
     writer.add(static_cast<int64_t>(MessageTag::Request)).add(request.charge.value());
     write(writer, request.share);
-    writer.add(request.epoch.value()).add(request.minimum.value()).add(request.wanted.value()).addDuration(request.turn).add(request.gatherer.value());
+    writer.add(request.epoch.value()).add(request.minimum.value()).add(request.wanted.value()).addDuration(request.lockTtl).add(request.gatherer.value());
 }
 
 void write(FieldWriter& writer, const limits::ChargeReturn& message)
@@ -42,9 +42,9 @@
     writer.add(message.epoch.value()).add(message.unused.value());
 }
 
-void write(FieldWriter& writer, const limits::TurnEnd& message)
+void write(FieldWriter& writer, const limits::GatherUnlock& message)
 {
-    writer.add(static_cast<int64_t>(MessageTag::TurnEnd));
+    writer.add(static_cast<int64_t>(MessageTag::GatherUnlock));
     write(writer, message.share);
     writer.add(message.epoch.value()).add(message.gatherer.value());
 }
@@ -57,7 +57,7 @@
     request.epoch = base::Epoch(reader.number());
     request.minimum = base::Tokens(reader.number());
     request.wanted = base::Tokens(reader.number());
-    request.turn = reader.duration();
+    request.lockTtl = reader.duration();
     request.gatherer = base::RequestId(reader.text());
     return request;
 }
@@ -72,9 +72,9 @@
     return message;
 }
 
-limits::TurnEnd readTurnEnd(FieldReader& reader)
+limits::GatherUnlock readGatherUnlock(FieldReader& reader)
 {
-    limits::TurnEnd message;
+    limits::GatherUnlock message;
     message.share = readShare(reader);
     message.epoch = base::Epoch(reader.number());
     message.gatherer = base::RequestId(reader.text());
@@ -137,8 +137,8 @@
     case MessageTag::Return:
         message = readReturn(reader);
         break;
-    case MessageTag::TurnEnd:
-        message = readTurnEnd(reader);
+    case MessageTag::GatherUnlock:
+        message = readGatherUnlock(reader);
         break;
     default:
         return malformed();
--- a/packages/gateway/src/ShareLimitGate.cpp
+++ b/packages/gateway/src/ShareLimitGate.cpp
@@ -252,8 +252,8 @@
     }
     if (auto* unused = std::get_if<limits::ChargeReturn>(&message))
         m_table.onReturn(*unused, at);
-    else if (auto* end = std::get_if<limits::TurnEnd>(&message))
-        m_table.onTurnEnd(*end);
+    else if (auto* end = std::get_if<limits::GatherUnlock>(&message))
+        m_table.onGatherUnlock(*end);
     return std::nullopt;
 }
 
--- a/packages/limits/include/toucanstep/limits/ChargeCoordinator.h
+++ b/packages/limits/include/toucanstep/limits/ChargeCoordinator.h
@@ -117,7 +117,7 @@
     void restart(base::Instant now);
     void refuseOrWait(base::Instant now);
     void refuseWith(base::RefusalCode, std::optional<base::Instant> retryAt);
-    void ask(size_t share, base::Tokens minimum, base::Tokens wanted, base::Duration turn, base::Instant now);
+    void ask(size_t share, base::Tokens minimum, base::Tokens wanted, base::Duration lockTtl, base::Instant now);
     void onAnswerTimeout(base::Instant now);
     void returnCharge(const Pending&);
     void abandonPending();
--- a/packages/limits/include/toucanstep/limits/Messages.h
+++ b/packages/limits/include/toucanstep/limits/Messages.h
@@ -53,7 +53,7 @@
     base::Tokens minimum;
     base::Tokens wanted;
     // Set on the first share of a gathering: asks for the turn to gather, for this long at most. Zero asks for none.
-    base::Duration turn {};
+    base::Duration lockTtl {};
     // Which request gathers; all its charges carry the same value.
     base::RequestId gatherer;
 };
@@ -84,7 +84,7 @@
 };
 
 // Ends the turn to gather before its time.
-struct TurnEnd {
+struct GatherUnlock {
     ShareId share;
     base::Epoch epoch;
     base::RequestId gatherer;
@@ -98,7 +98,7 @@
     TokenNanos stock;
 };
 
-using ChargeMessage = std::variant<ChargeRequest, ChargeReturn, TurnEnd>;
+using ChargeMessage = std::variant<ChargeRequest, ChargeReturn, GatherUnlock>;
 
 struct AddressedMessage {
     base::InstanceId to;
--- a/packages/limits/include/toucanstep/limits/ShareTable.h
+++ b/packages/limits/include/toucanstep/limits/ShareTable.h
@@ -26,7 +26,7 @@
     ChargeReply onCharge(const ChargeRequest&, base::Instant now);
     // Returns what was added to the stock.
     TokenNanos onReturn(const ChargeReturn&, base::Instant now);
-    void onTurnEnd(const TurnEnd&);
+    void onGatherUnlock(const GatherUnlock&);
 
     bool holds(const ShareId&) const;
     std::vector<ShareHint> hints(base::Instant now) const;
--- a/packages/limits/src/ChargeCoordinator.cpp
+++ b/packages/limits/src/ChargeCoordinator.cpp
@@ -91,7 +91,7 @@
         break;
     case ChargeResult::Lacks:
     case ChargeResult::NotHolder:
-        if (answered.request.turn > base::Duration::zero() && reply.result == ChargeResult::Lacks)
+        if (answered.request.lockTtl > base::Duration::zero() && reply.result == ChargeResult::Lacks)
             m_turnAt = answered.share;
         proceed(now);
         break;
@@ -242,12 +242,12 @@
     m_outcome = ChargeRefused { code, retryAt, missing };
 }
 
-void ChargeCoordinator::ask(size_t share, base::Tokens minimum, base::Tokens wanted, base::Duration turn, base::Instant now)
+void ChargeCoordinator::ask(size_t share, base::Tokens minimum, base::Tokens wanted, base::Duration lockTtl, base::Instant now)
 {
     const ShareView& view = m_shares[share];
     ChargeId id(base::concat(m_order.request, "/", m_nextCharge++));
     ++m_chargesSent;
-    ChargeRequest request { id, view.hint.share, view.hint.epoch, minimum, wanted, turn, m_order.request };
+    ChargeRequest request { id, view.hint.share, view.hint.epoch, minimum, wanted, lockTtl, m_order.request };
     m_output.push_back({ view.holder, request });
     m_pending = Pending { share, request, now, now + m_options.answerTimeout };
 }
@@ -281,8 +281,8 @@
     returnCharge(*m_pending);
     const ChargeRequest& request = m_pending->request;
     const base::InstanceId& holder = m_shares[m_pending->share].holder;
-    if (request.turn > base::Duration::zero())
-        m_output.push_back({ holder, TurnEnd { request.share, request.epoch, m_order.request } });
+    if (request.lockTtl > base::Duration::zero())
+        m_output.push_back({ holder, GatherUnlock { request.share, request.epoch, m_order.request } });
     m_pending.reset();
 }
 
@@ -303,7 +303,7 @@
     if (!m_turnAt)
         return;
     const ShareView& view = m_shares[*m_turnAt];
-    m_output.push_back({ view.holder, TurnEnd { view.hint.share, view.hint.epoch, m_order.request } });
+    m_output.push_back({ view.holder, GatherUnlock { view.hint.share, view.hint.epoch, m_order.request } });
     m_turnAt.reset();
 }
 
@@ -321,7 +321,7 @@
 void ChargeCoordinator::onGranted(const Pending& answered, const ChargeReply& reply, base::Instant now)
 {
     const ChargeRequest& request = answered.request;
-    if (request.turn > base::Duration::zero())
+    if (request.lockTtl > base::Duration::zero())
         m_turnAt = answered.share;
     if (m_parts.empty())
         m_oldestPartSentAt = answered.sentAt;
--- a/packages/limits/src/ShareTable.cpp
+++ b/packages/limits/src/ShareTable.cpp
@@ -73,7 +73,7 @@
     if (!held)
         return reply;
     ShareHolder& holder = held->holder;
-    if (request.turn > base::Duration::zero() && !holder.takeTurn(request.gatherer, now + request.turn, now)) {
+    if (request.lockTtl > base::Duration::zero() && !holder.takeTurn(request.gatherer, now + request.lockTtl, now)) {
         reply.result = ChargeResult::Busy;
         reply.retryAfter = std::min(base::remaining(now, *holder.turnEndsAt(now)), turnRetryInterval);
     } else {
@@ -91,7 +91,7 @@
     return held ? held->holder.refund(message.charge, message.unused, now) : TokenNanos(0);
 }
 
-void ShareTable::onTurnEnd(const TurnEnd& message)
+void ShareTable::onGatherUnlock(const GatherUnlock& message)
 {
     if (Held* held = find(message.share, message.epoch))
         held->holder.endTurn(message.gatherer);
--- a/packages/limits/test/LimitsFleet.h
+++ b/packages/limits/test/LimitsFleet.h
@@ -272,7 +272,7 @@
         } else if (const auto* back = std::get_if<ChargeReturn>(&*packet.message)) {
             holder.table.onReturn(*back, m_now);
         } else {
-            holder.table.onTurnEnd(std::get<TurnEnd>(*packet.message));
+            holder.table.onGatherUnlock(std::get<GatherUnlock>(*packet.message));
         }
     }
 
--- a/samples/limits_sample.cpp
+++ b/samples/limits_sample.cpp
@@ -65,7 +65,7 @@
         if (const auto* back = std::get_if<ChargeReturn>(&addressed.message))
             table.onReturn(*back, now);
         else
-            table.onTurnEnd(std::get<TurnEnd>(addressed.message));
+            table.onGatherUnlock(std::get<GatherUnlock>(addressed.message));
         return {};
     }
 };
