--- a/packages/gateway/src/ChargeCodec.cpp
+++ b/packages/gateway/src/ChargeCodec.cpp
@@ -86,8 +86,8 @@
     switch (reader.number()) {
     case static_cast<int64_t>(limits::ChargeResult::Granted):
         return limits::ChargeResult::Granted;
-    case static_cast<int64_t>(limits::ChargeResult::Lacks):
-        return limits::ChargeResult::Lacks;
+    case static_cast<int64_t>(limits::ChargeResult::Insufficient):
+        return limits::ChargeResult::Insufficient;
     case static_cast<int64_t>(limits::ChargeResult::Busy):
         return limits::ChargeResult::Busy;
     default:
--- a/packages/limits/include/toucanstep/limits/Messages.h
+++ b/packages/limits/include/toucanstep/limits/Messages.h
@@ -60,7 +60,7 @@
 
 enum class ChargeResult {
     Granted,
-    Lacks,
+    Insufficient,
     // Another request is gathering; ask again when `retryAfter` has passed.
     Busy,
     // The receiver does not hold the share in that epoch; nothing was taken.
--- a/packages/limits/src/ChargeCoordinator.cpp
+++ b/packages/limits/src/ChargeCoordinator.cpp
@@ -89,9 +89,9 @@
     case ChargeResult::Busy:
         onBusy(reply, now);
         break;
-    case ChargeResult::Lacks:
+    case ChargeResult::Insufficient:
     case ChargeResult::NotHolder:
-        if (answered.request.lockTtl > base::Duration::zero() && reply.result == ChargeResult::Lacks)
+        if (answered.request.lockTtl > base::Duration::zero() && reply.result == ChargeResult::Insufficient)
             m_turnAt = answered.share;
         proceed(now);
         break;
--- a/packages/limits/src/ShareTable.cpp
+++ b/packages/limits/src/ShareTable.cpp
@@ -78,7 +78,7 @@
         reply.retryAfter = std::min(base::remaining(now, *holder.turnEndsAt(now)), turnRetryInterval);
     } else {
         reply.granted = holder.charge(request.charge, request.minimum, request.wanted, now);
-        reply.result = reply.granted > base::Tokens(0) ? ChargeResult::Granted : ChargeResult::Lacks;
+        reply.result = reply.granted > base::Tokens(0) ? ChargeResult::Granted : ChargeResult::Insufficient;
     }
     reply.hint.stock = holder.bucket().stockAt(now);
     reply.hint.limits = holder.bucket().limits();
