--- a/bench/limits_policies.cpp
+++ b/bench/limits_policies.cpp
@@ -114,7 +114,7 @@
         m_tables[gateway].take({ account, gateway }, Epoch(m_epoch), splitLimits(limits, gatewayCount)[gateway], m_surroundings.now);
         for (auto& hints : m_hints) {
             hints[gateway].hint.epoch = Epoch(m_epoch);
-            hints[gateway].hint.stock = TokenNanos(0);
+            hints[gateway].hint.balance = TokenNanos(0);
             hints[gateway].observedAt = m_surroundings.now;
         }
     }
@@ -185,7 +185,7 @@
             return std::nullopt;
         // A read and a compare-and-swap.
         m_surroundings.serviceCalls += 2;
-        Tokens amount = std::min(wanted, wholeTokens(m_bucket.stockAt(now)));
+        Tokens amount = std::min(wanted, wholeTokens(m_bucket.balanceAt(now)));
         m_bucket.take(amount, now);
         return Grant { amount, now + seconds(2) };
     }
@@ -211,7 +211,7 @@
     std::optional<bool> compareAndSwap(const ClientAccountId&, const Value& next) override
     {
         ++m_surroundings.serviceCalls;
-        m_value = { next.revision + Revision(1), next.stock, next.updatedAt };
+        m_value = { next.revision + Revision(1), next.balance, next.updatedAt };
         return true;
     }
 
--- a/packages/gateway/src/ChargeCodec.cpp
+++ b/packages/gateway/src/ChargeCodec.cpp
@@ -114,7 +114,7 @@
     FieldWriter writer;
     writer.add(reply.charge.value()).add(static_cast<int64_t>(reply.result)).add(reply.granted.value()).addDuration(reply.retryAfter);
     write(writer, reply.hint.share);
-    writer.add(reply.hint.epoch.value()).add(reply.hint.stock.value());
+    writer.add(reply.hint.epoch.value()).add(reply.hint.balance.value());
     writer.add(reply.hint.limits.tokensPerSecond.value()).add(reply.hint.limits.burst.value());
     return writer.finish();
 }
@@ -123,7 +123,7 @@
 {
     FieldWriter writer;
     write(writer, handover.share);
-    return writer.add(handover.epoch.value()).add(handover.stock.value()).finish();
+    return writer.add(handover.epoch.value()).add(handover.balance.value()).finish();
 }
 
 base::Result<limits::ChargeMessage> decodeChargeMessage(std::string_view bytes)
@@ -158,7 +158,7 @@
     reply.retryAfter = reader.duration();
     reply.hint.share = readShare(reader);
     reply.hint.epoch = base::Epoch(reader.number());
-    reply.hint.stock = limits::TokenNanos(reader.number());
+    reply.hint.balance = limits::TokenNanos(reader.number());
     reply.hint.limits.tokensPerSecond = base::Tokens(reader.number());
     reply.hint.limits.burst = base::Tokens(reader.number());
     if (!reader.complete())
@@ -172,7 +172,7 @@
     limits::Handover handover;
     handover.share = readShare(reader);
     handover.epoch = base::Epoch(reader.number());
-    handover.stock = limits::TokenNanos(reader.number());
+    handover.balance = limits::TokenNanos(reader.number());
     if (!reader.complete())
         return malformed();
     return handover;
--- a/packages/gateway/src/ShareMover.cpp
+++ b/packages/gateway/src/ShareMover.cpp
@@ -141,7 +141,7 @@
         if (state != assignments::MoveState::Committed || !written || !stock)
             return;
         // The taker accepts a stock in the epoch after the one that it names.
-        limits::Handover handover { stock->share, written->epoch - base::Epoch(1), stock->stock };
+        limits::Handover handover { stock->share, written->epoch - base::Epoch(1), stock->balance };
         base::LogLine("share_handed_over").add("account", stock->share.account).add("share", stock->share.index).add("to", target.instance).add("epoch", written->epoch);
         m_node.traffic().post([this, to = target.instance, handover] { m_gate.sendHandover(to, handover); });
     });
--- a/packages/limits/include/toucanstep/limits/ChargeCoordinator.h
+++ b/packages/limits/include/toucanstep/limits/ChargeCoordinator.h
@@ -26,8 +26,8 @@
     // False once the holder stopped answering; its share then counts as empty.
     bool reachable = true;
 
-    // The stock to expect now if nobody has taken from the share since.
-    TokenNanos expectedStock(base::Instant now) const;
+    // The balance to expect now if nobody has taken from the share since.
+    TokenNanos expectedBalance(base::Instant now) const;
 };
 
 struct ChargeOptions {
--- a/packages/limits/include/toucanstep/limits/Messages.h
+++ b/packages/limits/include/toucanstep/limits/Messages.h
@@ -40,7 +40,7 @@
 struct ShareHint {
     ShareId share;
     base::Epoch epoch;
-    TokenNanos stock;
+    TokenNanos balance;
     BucketLimits limits;
 };
 
@@ -49,7 +49,7 @@
     ShareId share;
     // The epoch of the row by which the sender found the holder; another epoch is answered NotHolder.
     base::Epoch epoch;
-    // Takes as much as is in stock between the two bounds, or nothing.
+    // Takes as much as is in balance between the two bounds, or nothing.
     base::Tokens minimum;
     base::Tokens wanted;
     // Set on the first share of a gathering: asks for the turn to gather, for this long at most. Zero asks for none.
@@ -90,12 +90,12 @@
     base::RequestId gatherer;
 };
 
-// The stock of a share that its holder gave up on a planned stop. The holder has already dropped it.
+// The balance of a share that its holder gave up on a planned stop. The holder has already dropped it.
 struct Handover {
     ShareId share;
     // The giver's epoch; the taker holds the row in the next one.
     base::Epoch epoch;
-    TokenNanos stock;
+    TokenNanos balance;
 };
 
 using ChargeMessage = std::variant<ChargeRequest, ChargeReturn, GatherUnlock>;
--- a/packages/limits/include/toucanstep/limits/ShareHolder.h
+++ b/packages/limits/include/toucanstep/limits/ShareHolder.h
@@ -23,16 +23,16 @@
     // Starts with an empty bucket: the previous holder may have spent all that had accrued.
     ShareHolder(BucketLimits, base::Instant now, size_t memory = defaultMemory);
 
-    // Takes between `minimum` and `wanted`; returns what was taken, which is zero where the stock lacks. A known id
+    // Takes between `minimum` and `wanted`; returns what was taken, which is zero where the balance lacks. A known id
     // returns what its first arrival took.
     base::Tokens charge(const ChargeId&, base::Tokens minimum, base::Tokens wanted, base::Instant now);
     // Returns what was added. An unknown id is remembered, so that a charge that arrives after its return takes nothing.
     TokenNanos refund(const ChargeId&, base::Tokens unused, base::Instant now);
     void setLimits(BucketLimits, base::Instant now);
-    // Adds what the previous holder had left, as if it had been here from the beginning: a stock that arrives late does not
+    // Adds what the previous holder had left, as if it had been here from the beginning: a balance that arrives late does not
     // come on top of what has accrued since. Returns what was added.
     TokenNanos addHandedOver(TokenNanos, base::Instant now);
-    // Gives up the stock and forgets all charges.
+    // Gives up the balance and forgets all charges.
     TokenNanos drop(base::Instant now);
 
     // Gives the turn to gather to `gatherer` until `until`, unless another has it.
--- a/packages/limits/include/toucanstep/limits/TokenBucket.h
+++ b/packages/limits/include/toucanstep/limits/TokenBucket.h
@@ -12,18 +12,18 @@
 
 namespace toucanstep::limits {
 
-// Tokens times 10^9: the stock after one nanosecond at one token a second is 1.
+// Tokens times 10^9: the balance after one nanosecond at one token a second is 1.
 using TokenNanos = base::StrongNumber<struct TokenNanosTag>;
 
 constexpr int64_t nanosPerToken = 1'000'000'000;
-// Above these a stock would not fit into 64 bits; larger limits are cut to them.
+// Above these a balance would not fit into 64 bits; larger limits are cut to them.
 constexpr int64_t maximumRate = 4'000'000'000;
 constexpr int64_t maximumBurst = 4'000'000'000;
 
 constexpr TokenNanos toNanos(base::Tokens tokens) { return TokenNanos(tokens.value() * nanosPerToken); }
-constexpr base::Tokens wholeTokens(TokenNanos stock) { return base::Tokens(stock.value() / nanosPerToken); }
+constexpr base::Tokens wholeTokens(TokenNanos balance) { return base::Tokens(balance.value() / nanosPerToken); }
 
-// A rate in tokens a second and the most that may be in stock. Negative values count as zero.
+// A rate in tokens a second and the most that may be in balance. Negative values count as zero.
 struct BucketLimits {
     base::Tokens tokensPerSecond;
     base::Tokens burst;
@@ -33,21 +33,21 @@
 
 class TokenBucket {
 public:
-    // `stock` is cut to the burst.
-    TokenBucket(BucketLimits, TokenNanos stock, base::Instant now);
+    // `balance` is cut to the burst.
+    TokenBucket(BucketLimits, TokenNanos balance, base::Instant now);
 
     const BucketLimits& limits() const { return m_limits; }
-    // A time before the latest one seen gives the latest stock: a bucket never runs backwards.
-    TokenNanos stockAt(base::Instant now) const;
+    // A time before the latest one seen gives the latest balance: a bucket never runs backwards.
+    TokenNanos balanceAt(base::Instant now) const;
     // Takes all of `amount`, or nothing and returns false.
     bool take(base::Tokens amount, base::Instant now);
     // Adds as much as fits below the burst, and returns what was added.
     TokenNanos add(TokenNanos amount, base::Instant now);
     // Empties the bucket and returns what was in it.
     TokenNanos drain(base::Instant now);
-    // Time up to `now` accrues at the old rate; a lower burst cuts the stock at once.
+    // Time up to `now` accrues at the old rate; a lower burst cuts the balance at once.
     void setLimits(BucketLimits, base::Instant now);
-    // The first instant at which `amount` is in stock if nothing else is taken; nothing where that never comes.
+    // The first instant at which `amount` is in balance if nothing else is taken; nothing where that never comes.
     std::optional<base::Instant> availableAt(base::Tokens amount, base::Instant now) const;
 
 private:
--- a/packages/limits/src/CentralPolicy.cpp
+++ b/packages/limits/src/CentralPolicy.cpp
@@ -24,11 +24,11 @@
         std::optional<CounterStore::Value> value = m_store.read(order.account);
         if (!value)
             return { .code = base::RefusalCode::StoreUnavailable };
-        TokenBucket bucket(limits->second, value->stock, value->updatedAt);
+        TokenBucket bucket(limits->second, value->balance, value->updatedAt);
         if (!bucket.take(order.cost, now))
             return { .retryAt = bucket.availableAt(order.cost, now) };
         base::Instant updatedAt = std::max(now, value->updatedAt);
-        auto written = m_store.compareAndSwap(order.account, { value->revision, bucket.stockAt(updatedAt), updatedAt });
+        auto written = m_store.compareAndSwap(order.account, { value->revision, bucket.balanceAt(updatedAt), updatedAt });
         // A write whose answer was lost may have taken the tokens; they count as spent.
         if (!written)
             return { .code = base::RefusalCode::StoreUnavailable };
@@ -51,11 +51,11 @@
         std::optional<CounterStore::Value> value = m_store.read(account);
         if (!value)
             return;
-        TokenBucket bucket(m_limits.at(account), value->stock, value->updatedAt);
+        TokenBucket bucket(m_limits.at(account), value->balance, value->updatedAt);
         bucket.add(toNanos(unused), now);
         base::Instant updatedAt = std::max(now, value->updatedAt);
         // A lost answer is not tried again: the tokens might be added twice.
-        if (m_store.compareAndSwap(account, { value->revision, bucket.stockAt(updatedAt), updatedAt }).value_or(true))
+        if (m_store.compareAndSwap(account, { value->revision, bucket.balanceAt(updatedAt), updatedAt }).value_or(true))
             return;
     }
 }
--- a/packages/limits/src/ChargeCoordinator.cpp
+++ b/packages/limits/src/ChargeCoordinator.cpp
@@ -17,20 +17,20 @@
 
 base::Tokens wholeExpected(const ShareView& share, base::Instant now)
 {
-    return share.reachable ? wholeTokens(share.expectedStock(now)) : base::Tokens(0);
+    return share.reachable ? wholeTokens(share.expectedBalance(now)) : base::Tokens(0);
 }
 
 int64_t fullness(const ShareView& share, base::Instant now)
 {
     int64_t burst = share.hint.limits.burst.value();
-    return burst > 0 ? share.expectedStock(now).value() / burst / (nanosPerToken / 1000) : 0;
+    return burst > 0 ? share.expectedBalance(now).value() / burst / (nanosPerToken / 1000) : 0;
 }
 
 } // namespace
 
-TokenNanos ShareView::expectedStock(base::Instant now) const
+TokenNanos ShareView::expectedBalance(base::Instant now) const
 {
-    return TokenBucket(hint.limits, hint.stock, observedAt).stockAt(now);
+    return TokenBucket(hint.limits, hint.balance, observedAt).balanceAt(now);
 }
 
 std::vector<AddressedMessage> returnUnused(const std::vector<ChargedPart>& parts, base::Tokens unused)
@@ -139,7 +139,7 @@
         askWhole(now);
 }
 
-// A share that is asked for the whole cost and lacks it gives nothing but its exact stock. So a request that can't be
+// A share that is asked for the whole cost and lacks it gives nothing but its exact balance. So a request that can't be
 // covered takes nothing from anybody while it finds that out.
 void ChargeCoordinator::askWhole(base::Instant now)
 {
@@ -292,7 +292,7 @@
         m_output.push_back({ part.holder, ChargeReturn { part.charge, part.share, part.epoch, part.amount } });
         for (auto& share : m_shares) {
             if (share.hint.share == part.share)
-                share.hint.stock += toNanos(part.amount);
+                share.hint.balance += toNanos(part.amount);
         }
     }
     m_parts.clear();
@@ -357,7 +357,7 @@
             continue;
         if (share.holder == m_options.self && wholeExpected(share, now) >= m_order.cost)
             own = index;
-        if (!best || share.expectedStock(now) > m_shares[*best].expectedStock(now))
+        if (!best || share.expectedBalance(now) > m_shares[*best].expectedBalance(now))
             best = index;
     }
     if (own && fullness(m_shares[*own], now) >= fullness(m_shares[*best], now) - m_options.ownShareMargin)
@@ -416,7 +416,7 @@
     for (const auto& share : m_shares) {
         if (!share.reachable)
             continue;
-        TokenBucket bucket(share.hint.limits, share.expectedStock(now), now);
+        TokenBucket bucket(share.hint.limits, share.expectedBalance(now), now);
         late = std::max(late, bucket.availableAt(bucket.limits().burst, now).value_or(now));
     }
     if (expectedTotal(late) < m_order.cost)
--- a/packages/limits/src/ShareHolder.cpp
+++ b/packages/limits/src/ShareHolder.cpp
@@ -15,17 +15,17 @@
     : m_bucket(limits, TokenNanos(0), now)
     , m_memory(std::max<size_t>(memory, 1))
 {
-    // Stands for the beginning, so that the room since then is known when the previous holder's stock arrives.
+    // Stands for the beginning, so that the room since then is known when the previous holder's balance arrives.
     remember(beginningOfHolding(), base::Tokens(0), false);
 }
 
-// Between two charges the stock only rises, so the room is least right before the next charge, refund or change of
+// Between two charges the balance only rises, so the room is least right before the next charge, refund or change of
 // limits; it is noted at each of these.
 void ShareHolder::noteRoom(base::Instant now)
 {
     if (m_entries.empty())
         return;
-    TokenNanos room = toNanos(m_bucket.limits().burst) - m_bucket.stockAt(now);
+    TokenNanos room = toNanos(m_bucket.limits().burst) - m_bucket.balanceAt(now);
     m_entries.back().leastRoom = std::min(m_entries.back().leastRoom, room);
 }
 
@@ -45,7 +45,7 @@
     auto known = m_positions.find(id);
     if (known != m_positions.end())
         return m_entries[known->second - m_forgotten].taken;
-    base::Tokens amount = std::min(wanted, wholeTokens(m_bucket.stockAt(now)));
+    base::Tokens amount = std::min(wanted, wholeTokens(m_bucket.balanceAt(now)));
     if (amount < minimum || amount <= base::Tokens(0))
         return base::Tokens(0);
     noteRoom(now);
@@ -96,14 +96,14 @@
     noteRoom(now);
 }
 
-TokenNanos ShareHolder::addHandedOver(TokenNanos stock, base::Instant now)
+TokenNanos ShareHolder::addHandedOver(TokenNanos balance, base::Instant now)
 {
     noteRoom(now);
     auto beginning = m_positions.find(beginningOfHolding());
     // Too much has happened since the take-over to know what the bucket could have held.
     if (beginning == m_positions.end())
         return TokenNanos(0);
-    return addAsOf(beginning->second - m_forgotten, stock, now);
+    return addAsOf(beginning->second - m_forgotten, balance, now);
 }
 
 TokenNanos ShareHolder::drop(base::Instant now)
--- a/packages/limits/src/ShareTable.cpp
+++ b/packages/limits/src/ShareTable.cpp
@@ -48,9 +48,9 @@
     Held* held = find(handover.share, handover.epoch + base::Epoch(1));
     if (!held || held->handoverAccepted)
         return false;
-    // A second copy of the message must not add the stock again.
+    // A second copy of the message must not add the balance again.
     held->handoverAccepted = true;
-    held->holder.addHandedOver(handover.stock, now);
+    held->holder.addHandedOver(handover.balance, now);
     return true;
 }
 
@@ -80,7 +80,7 @@
         reply.granted = holder.charge(request.charge, request.minimum, request.wanted, now);
         reply.result = reply.granted > base::Tokens(0) ? ChargeResult::Granted : ChargeResult::Insufficient;
     }
-    reply.hint.stock = holder.bucket().stockAt(now);
+    reply.hint.balance = holder.bucket().balanceAt(now);
     reply.hint.limits = holder.bucket().limits();
     return reply;
 }
@@ -106,7 +106,7 @@
 {
     std::vector<ShareHint> hints;
     for (const auto& [share, held] : m_shares)
-        hints.push_back({ share, held.epoch, held.holder.bucket().stockAt(now), held.holder.bucket().limits() });
+        hints.push_back({ share, held.epoch, held.holder.bucket().balanceAt(now), held.holder.bucket().limits() });
     std::sort(hints.begin(), hints.end(), [](const ShareHint& left, const ShareHint& right) { return left.share < right.share; });
     return hints;
 }
--- a/packages/limits/src/TokenBucket.cpp
+++ b/packages/limits/src/TokenBucket.cpp
@@ -15,14 +15,14 @@
 
 } // namespace
 
-TokenBucket::TokenBucket(BucketLimits limits, TokenNanos stock, base::Instant now)
+TokenBucket::TokenBucket(BucketLimits limits, TokenNanos balance, base::Instant now)
     : m_limits(withinBounds(limits))
-    , m_stock(std::clamp(stock, TokenNanos(0), toNanos(m_limits.burst)))
+    , m_stock(std::clamp(balance, TokenNanos(0), toNanos(m_limits.burst)))
     , m_updatedAt(now)
 {
 }
 
-TokenNanos TokenBucket::stockAt(base::Instant now) const
+TokenNanos TokenBucket::balanceAt(base::Instant now) const
 {
     int64_t rate = m_limits.tokensPerSecond.value();
     if (now <= m_updatedAt || !rate)
@@ -37,7 +37,7 @@
 
 void TokenBucket::advance(base::Instant now)
 {
-    m_stock = stockAt(now);
+    m_stock = balanceAt(now);
     m_updatedAt = std::max(m_updatedAt, now);
 }
 
@@ -78,13 +78,13 @@
 
 std::optional<base::Instant> TokenBucket::availableAt(base::Tokens amount, base::Instant now) const
 {
-    TokenNanos stock = stockAt(now);
-    if (amount <= wholeTokens(stock))
+    TokenNanos balance = balanceAt(now);
+    if (amount <= wholeTokens(balance))
         return now;
     int64_t rate = m_limits.tokensPerSecond.value();
     if (amount > m_limits.burst || !rate)
         return std::nullopt;
-    int64_t lacking = toNanos(amount).value() - stock.value();
+    int64_t lacking = toNanos(amount).value() - balance.value();
     int64_t wait = lacking / rate + (lacking % rate ? 1 : 0);
     return std::max(now, m_updatedAt) + base::Duration(wait);
 }
--- a/packages/limits/test/LimitsFleet.h
+++ b/packages/limits/test/LimitsFleet.h
@@ -243,7 +243,7 @@
         for (int share = 0; share < gatewayCount; ++share) {
             HintSeen seen = m_gateways[gateway].hints[share];
             Row row = m_gateways[gateway].rows[share];
-            ShareHint hint { shareId(share), row.epoch, seen.hint.stock, slices[share] };
+            ShareHint hint { shareId(share), row.epoch, seen.hint.balance, slices[share] };
             views.push_back({ gatewayId(row.gateway), hint, seen.at });
         }
         return views;
--- a/packages/limits/test/LimitsTest.cpp
+++ b/packages/limits/test/LimitsTest.cpp
@@ -150,7 +150,7 @@
     LONGS_EQUAL(333'333'334, (ready - start).count());
     CHECK_FALSE(bucket.take(Tokens(1), ready - Duration(1)));
     CHECK_TRUE(bucket.take(Tokens(1), ready));
-    LONGS_EQUAL(10, wholeTokens(bucket.stockAt(ready + std::chrono::hours(24 * 365))).value());
+    LONGS_EQUAL(10, wholeTokens(bucket.balanceAt(ready + std::chrono::hours(24 * 365))).value());
     CHECK_FALSE(bucket.availableAt(Tokens(11), ready).has_value());
 }
 
@@ -158,7 +158,7 @@
 {
     TokenBucket bucket(limitsOf(10, 100), toNanos(Tokens(100)), start);
     bucket.setLimits(limitsOf(10, 20), start);
-    LONGS_EQUAL(20, wholeTokens(bucket.stockAt(start)).value());
+    LONGS_EQUAL(20, wholeTokens(bucket.balanceAt(start)).value());
 }
 
 TEST(TokenBucket, SlicesSumToExactlyTheWhole)
@@ -209,14 +209,14 @@
     holder.addHandedOver(toNanos(Tokens(100)), start);
     LONGS_EQUAL(30, holder.charge(ChargeId("a"), Tokens(30), Tokens(30), start).value());
     LONGS_EQUAL(30, holder.charge(ChargeId("a"), Tokens(30), Tokens(30), start).value());
-    LONGS_EQUAL(70, wholeTokens(holder.bucket().stockAt(start)).value());
+    LONGS_EQUAL(70, wholeTokens(holder.bucket().balanceAt(start)).value());
     holder.refund(ChargeId("late"), Tokens(30), start);
     LONGS_EQUAL(0, holder.charge(ChargeId("late"), Tokens(30), Tokens(30), start).value());
-    LONGS_EQUAL(70, wholeTokens(holder.bucket().stockAt(start)).value());
+    LONGS_EQUAL(70, wholeTokens(holder.bucket().balanceAt(start)).value());
 }
 
-// A gateway leaves as planned and hands its share's stock on, but the message is held up for five seconds. By then the
-// share has half filled up at its new holder. If the stock came on top of that, the account could use more than the
+// A gateway leaves as planned and hands its share's balance on, but the message is held up for five seconds. By then the
+// share has half filled up at its new holder. If the balance came on top of that, the account could use more than the
 // share's burst in one instant.
 TEST(ShareHolder, AStockThatIsHandedOverLateDoesNotComeOnTop)
 {
@@ -328,7 +328,7 @@
             }
             // Time passes only while no share can fill up, as a full share loses what it would accrue.
             Duration step = milliseconds(100) * (command.second % 5);
-            if (exact.stockAt(now + step) <= toNanos(Tokens(30)))
+            if (exact.balanceAt(now + step) <= toNanos(Tokens(30)))
                 fleet.advance(step);
         }
     });
@@ -438,5 +438,5 @@
     auto given = planner.onReply(reply, now + seconds(2));
     CHECK_TRUE(std::get<ChargeRefused>(*planner.outcome()).code == RefusalCode::DeadlineExceeded);
     holder.onReturn(std::get<ChargeReturn>(given.at(0).message), now + seconds(2));
-    LONGS_EQUAL(100, wholeTokens(holder.hints(now + seconds(2)).at(0).stock).value());
+    LONGS_EQUAL(100, wholeTokens(holder.hints(now + seconds(2)).at(0).balance).value());
 }
