--- a/bench/limits_policies.cpp
+++ b/bench/limits_policies.cpp
@@ -101,9 +101,9 @@
         auto slices = splitLimits(limits, gatewayCount);
         for (int share = 0; share < gatewayCount; ++share) {
             m_tables[share].take({ account, share }, Epoch(1), slices[share], start);
-            m_tables[share].acceptHandover({ { account, share }, Epoch(0), toNanos(slices[share].burst) }, start);
+            m_tables[share].acceptHandover({ { account, share }, Epoch(0), toNanoTokens(slices[share].burst) }, start);
             for (auto& hints : m_hints)
-                hints[share] = { InstanceId(std::to_string(share)), { { account, share }, Epoch(1), toNanos(slices[share].burst), slices[share] }, start };
+                hints[share] = { InstanceId(std::to_string(share)), { { account, share }, Epoch(1), toNanoTokens(slices[share].burst), slices[share] }, start };
         }
     }
 
@@ -114,7 +114,7 @@
         m_tables[gateway].take({ account, gateway }, Epoch(m_epoch), splitLimits(limits, gatewayCount)[gateway], m_surroundings.now);
         for (auto& hints : m_hints) {
             hints[gateway].hint.epoch = Epoch(m_epoch);
-            hints[gateway].hint.balance = TokenNanos(0);
+            hints[gateway].hint.balance = NanoTokens(0);
             hints[gateway].observedAt = m_surroundings.now;
         }
     }
@@ -176,7 +176,7 @@
 public:
     explicit ServiceBucket(Surroundings& surroundings)
         : m_surroundings(surroundings)
-        , m_bucket(limits, toNanos(limits.burst), start)
+        , m_bucket(limits, toNanoTokens(limits.burst), start)
     {
     }
     std::optional<Grant> acquire(const ClientAccountId&, Tokens wanted, Instant now) override
@@ -200,7 +200,7 @@
 public:
     explicit ServiceCounter(Surroundings& surroundings)
         : m_surroundings(surroundings)
-        , m_value { Revision(1), toNanos(limits.burst), start }
+        , m_value { Revision(1), toNanoTokens(limits.burst), start }
     {
     }
     std::optional<Value> read(const ClientAccountId&) override
@@ -266,7 +266,7 @@
         , m_fleet(policy, ownShareMargin)
         , m_exact(limits, start)
     {
-        m_exact.addHandedOver(toNanos(limits.burst), start);
+        m_exact.addHandedOver(toNanoTokens(limits.burst), start);
     }
 
     nlohmann::json run(const std::vector<Arrival>& arrivals)
--- a/packages/gateway/src/ChargeCodec.cpp
+++ b/packages/gateway/src/ChargeCodec.cpp
@@ -158,7 +158,7 @@
     reply.retryAfter = reader.duration();
     reply.hint.share = readShare(reader);
     reply.hint.epoch = base::Epoch(reader.number());
-    reply.hint.balance = limits::TokenNanos(reader.number());
+    reply.hint.balance = limits::NanoTokens(reader.number());
     reply.hint.limits.tokensPerSecond = base::Tokens(reader.number());
     reply.hint.limits.burst = base::Tokens(reader.number());
     if (!reader.complete())
@@ -172,7 +172,7 @@
     limits::Handover handover;
     handover.share = readShare(reader);
     handover.epoch = base::Epoch(reader.number());
-    handover.balance = limits::TokenNanos(reader.number());
+    handover.balance = limits::NanoTokens(reader.number());
     if (!reader.complete())
         return malformed();
     return handover;
--- a/packages/history/src/Measures.cpp
+++ b/packages/history/src/Measures.cpp
@@ -70,7 +70,7 @@
         limits::BucketLimits limits { event.tokens, event.burst };
         auto [bucket, isNew] = m_buckets.try_emplace(event.account, limits, event.at, chargeMemory);
         if (isNew)
-            bucket->second.addHandedOver(limits::toNanos(event.burst), event.at);
+            bucket->second.addHandedOver(limits::toNanoTokens(event.burst), event.at);
         else
             bucket->second.setLimits(limits, event.at);
     }
--- a/packages/limits/include/toucanstep/limits/AdmissionPolicy.h
+++ b/packages/limits/include/toucanstep/limits/AdmissionPolicy.h
@@ -111,7 +111,7 @@
 public:
     struct Value {
         base::Revision revision;
-        TokenNanos balance;
+        NanoTokens balance;
         base::Instant updatedAt;
     };
     virtual ~CounterStore() = default;
--- a/packages/limits/include/toucanstep/limits/ChargeCoordinator.h
+++ b/packages/limits/include/toucanstep/limits/ChargeCoordinator.h
@@ -27,7 +27,7 @@
     bool reachable = true;
 
     // The balance to expect now if nobody has taken from the share since.
-    TokenNanos expectedBalance(base::Instant now) const;
+    NanoTokens expectedBalance(base::Instant now) const;
 };
 
 struct ChargeOptions {
--- a/packages/limits/include/toucanstep/limits/Messages.h
+++ b/packages/limits/include/toucanstep/limits/Messages.h
@@ -40,7 +40,7 @@
 struct ShareHint {
     ShareId share;
     base::Epoch epoch;
-    TokenNanos balance;
+    NanoTokens balance;
     BucketLimits limits;
 };
 
@@ -95,7 +95,7 @@
     ShareId share;
     // The giver's epoch; the taker holds the row in the next one.
     base::Epoch epoch;
-    TokenNanos balance;
+    NanoTokens balance;
 };
 
 using ChargeMessage = std::variant<ChargeRequest, ChargeReturn, GatherUnlock>;
--- a/packages/limits/include/toucanstep/limits/ShareHolder.h
+++ b/packages/limits/include/toucanstep/limits/ShareHolder.h
@@ -27,13 +27,13 @@
     // returns what its first arrival took.
     base::Tokens charge(const ChargeId&, base::Tokens minimum, base::Tokens wanted, base::Instant now);
     // Returns what was added. An unknown id is remembered, so that a charge that arrives after its return takes nothing.
-    TokenNanos refund(const ChargeId&, base::Tokens unused, base::Instant now);
+    NanoTokens refund(const ChargeId&, base::Tokens unused, base::Instant now);
     void setLimits(BucketLimits, base::Instant now);
     // Adds what the previous holder had left, as if it had been here from the beginning: a balance that arrives late does not
     // come on top of what has accrued since. Returns what was added.
-    TokenNanos addHandedOver(TokenNanos, base::Instant now);
+    NanoTokens addHandedOver(NanoTokens, base::Instant now);
     // Gives up the balance and forgets all charges.
-    TokenNanos drop(base::Instant now);
+    NanoTokens drop(base::Instant now);
 
     // Gives the turn to gather to `gatherer` until `until`, unless another has it.
     bool takeTurn(const base::RequestId& gatherer, base::Instant until, base::Instant now);
@@ -47,7 +47,7 @@
     struct Entry {
         ChargeId id;
         base::Tokens taken;
-        TokenNanos leastRoom;
+        NanoTokens leastRoom;
         bool settled = false;
     };
     struct Turn {
@@ -57,8 +57,8 @@
 
     void noteRoom(base::Instant now);
     void remember(const ChargeId&, base::Tokens taken, bool settled);
-    TokenNanos leastRoomSince(size_t position) const;
-    TokenNanos addAsOf(size_t position, TokenNanos wanted, base::Instant now);
+    NanoTokens leastRoomSince(size_t position) const;
+    NanoTokens addAsOf(size_t position, NanoTokens wanted, base::Instant now);
 
     TokenBucket m_bucket;
     std::deque<Entry> m_entries;
--- a/packages/limits/include/toucanstep/limits/ShareTable.h
+++ b/packages/limits/include/toucanstep/limits/ShareTable.h
@@ -25,7 +25,7 @@
 
     ChargeReply onCharge(const ChargeRequest&, base::Instant now);
     // Returns what was added to the balance.
-    TokenNanos onReturn(const ChargeReturn&, base::Instant now);
+    NanoTokens onReturn(const ChargeReturn&, base::Instant now);
     void onGatherUnlock(const GatherUnlock&);
 
     bool holds(const ShareId&) const;
--- a/packages/limits/src/CentralPolicy.cpp
+++ b/packages/limits/src/CentralPolicy.cpp
@@ -52,7 +52,7 @@
         if (!value)
             return;
         TokenBucket bucket(m_limits.at(account), value->balance, value->updatedAt);
-        bucket.add(toNanos(unused), now);
+        bucket.add(toNanoTokens(unused), now);
         base::Instant updatedAt = std::max(now, value->updatedAt);
         // A lost answer is not tried again: the tokens might be added twice.
         if (m_store.compareAndSwap(account, { value->revision, bucket.balanceAt(updatedAt), updatedAt }).value_or(true))
--- a/packages/limits/src/ChargeCoordinator.cpp
+++ b/packages/limits/src/ChargeCoordinator.cpp
@@ -23,12 +23,12 @@
 int64_t fullness(const ShareView& share, base::Instant now)
 {
     int64_t burst = share.hint.limits.burst.value();
-    return burst > 0 ? share.expectedBalance(now).value() / burst / (nanosPerToken / 1000) : 0;
+    return burst > 0 ? share.expectedBalance(now).value() / burst / (nanoTokensPerToken / 1000) : 0;
 }
 
 } // namespace
 
-TokenNanos ShareView::expectedBalance(base::Instant now) const
+NanoTokens ShareView::expectedBalance(base::Instant now) const
 {
     return TokenBucket(hint.limits, hint.balance, observedAt).balanceAt(now);
 }
@@ -292,7 +292,7 @@
         m_output.push_back({ part.holder, ChargeReturn { part.charge, part.share, part.epoch, part.amount } });
         for (auto& share : m_shares) {
             if (share.hint.share == part.share)
-                share.hint.balance += toNanos(part.amount);
+                share.hint.balance += toNanoTokens(part.amount);
         }
     }
     m_parts.clear();
--- a/packages/limits/src/ShareHolder.cpp
+++ b/packages/limits/src/ShareHolder.cpp
@@ -12,7 +12,7 @@
 } // namespace
 
 ShareHolder::ShareHolder(BucketLimits limits, base::Instant now, size_t memory)
-    : m_bucket(limits, TokenNanos(0), now)
+    : m_bucket(limits, NanoTokens(0), now)
     , m_memory(std::max<size_t>(memory, 1))
 {
     // Stands for the beginning, so that the room since then is known when the previous holder's balance arrives.
@@ -25,14 +25,14 @@
 {
     if (m_entries.empty())
         return;
-    TokenNanos room = toNanos(m_bucket.limits().burst) - m_bucket.balanceAt(now);
+    NanoTokens room = toNanoTokens(m_bucket.limits().burst) - m_bucket.balanceAt(now);
     m_entries.back().leastRoom = std::min(m_entries.back().leastRoom, room);
 }
 
 void ShareHolder::remember(const ChargeId& id, base::Tokens taken, bool settled)
 {
     m_positions[id] = m_forgotten + m_entries.size();
-    m_entries.push_back({ id, taken, toNanos(m_bucket.limits().burst), settled });
+    m_entries.push_back({ id, taken, toNanoTokens(m_bucket.limits().burst), settled });
     if (m_entries.size() <= m_memory)
         return;
     m_positions.erase(m_entries.front().id);
@@ -54,36 +54,36 @@
     return amount;
 }
 
-TokenNanos ShareHolder::leastRoomSince(size_t position) const
+NanoTokens ShareHolder::leastRoomSince(size_t position) const
 {
-    TokenNanos least = m_entries[position].leastRoom;
+    NanoTokens least = m_entries[position].leastRoom;
     for (size_t index = position + 1; index < m_entries.size(); ++index)
         least = std::min(least, m_entries[index].leastRoom);
     return least;
 }
 
-TokenNanos ShareHolder::refund(const ChargeId& id, base::Tokens unused, base::Instant now)
+NanoTokens ShareHolder::refund(const ChargeId& id, base::Tokens unused, base::Instant now)
 {
     noteRoom(now);
     auto known = m_positions.find(id);
     if (known == m_positions.end()) {
         // The return overtook its charge: nothing may be taken under this id any more.
         remember(id, base::Tokens(0), true);
-        return TokenNanos(0);
+        return NanoTokens(0);
     }
     size_t position = known->second - m_forgotten;
     Entry& entry = m_entries[position];
     if (entry.settled)
-        return TokenNanos(0);
+        return NanoTokens(0);
     entry.settled = true;
-    return addAsOf(position, toNanos(std::clamp(unused, base::Tokens(0), entry.taken)), now);
+    return addAsOf(position, toNanoTokens(std::clamp(unused, base::Tokens(0), entry.taken)), now);
 }
 
 // Failure guarded against: charge the burst, let the bucket fill up, charge it again, then return the first charge and
 // charge that too: twice the burst in one instant. What the bucket could not have held in between is not added.
-TokenNanos ShareHolder::addAsOf(size_t position, TokenNanos wanted, base::Instant now)
+NanoTokens ShareHolder::addAsOf(size_t position, NanoTokens wanted, base::Instant now)
 {
-    TokenNanos added = m_bucket.add(std::min(wanted, leastRoomSince(position)), now);
+    NanoTokens added = m_bucket.add(std::min(wanted, leastRoomSince(position)), now);
     for (size_t index = position; index < m_entries.size(); ++index)
         m_entries[index].leastRoom -= added;
     return added;
@@ -96,17 +96,17 @@
     noteRoom(now);
 }
 
-TokenNanos ShareHolder::addHandedOver(TokenNanos balance, base::Instant now)
+NanoTokens ShareHolder::addHandedOver(NanoTokens balance, base::Instant now)
 {
     noteRoom(now);
     auto beginning = m_positions.find(beginningOfHolding());
     // Too much has happened since the take-over to know what the bucket could have held.
     if (beginning == m_positions.end())
-        return TokenNanos(0);
+        return NanoTokens(0);
     return addAsOf(beginning->second - m_forgotten, balance, now);
 }
 
-TokenNanos ShareHolder::drop(base::Instant now)
+NanoTokens ShareHolder::drop(base::Instant now)
 {
     m_entries.clear();
     m_positions.clear();
--- a/packages/limits/src/ShareTable.cpp
+++ b/packages/limits/src/ShareTable.cpp
@@ -85,10 +85,10 @@
     return reply;
 }
 
-TokenNanos ShareTable::onReturn(const ChargeReturn& message, base::Instant now)
+NanoTokens ShareTable::onReturn(const ChargeReturn& message, base::Instant now)
 {
     Held* held = find(message.share, message.epoch);
-    return held ? held->holder.refund(message.charge, message.unused, now) : TokenNanos(0);
+    return held ? held->holder.refund(message.charge, message.unused, now) : NanoTokens(0);
 }
 
 void ShareTable::onGatherUnlock(const GatherUnlock& message)
--- a/packages/limits/src/TokenBucket.cpp
+++ b/packages/limits/src/TokenBucket.cpp
@@ -15,24 +15,24 @@
 
 } // namespace
 
-TokenBucket::TokenBucket(BucketLimits limits, TokenNanos balance, base::Instant now)
+TokenBucket::TokenBucket(BucketLimits limits, NanoTokens balance, base::Instant now)
     : m_limits(withinBounds(limits))
-    , m_stock(std::clamp(balance, TokenNanos(0), toNanos(m_limits.burst)))
+    , m_stock(std::clamp(balance, NanoTokens(0), toNanoTokens(m_limits.burst)))
     , m_updatedAt(now)
 {
 }
 
-TokenNanos TokenBucket::balanceAt(base::Instant now) const
+NanoTokens TokenBucket::balanceAt(base::Instant now) const
 {
     int64_t rate = m_limits.tokensPerSecond.value();
     if (now <= m_updatedAt || !rate)
         return m_stock;
-    int64_t room = toNanos(m_limits.burst).value() - m_stock.value();
+    int64_t room = toNanoTokens(m_limits.burst).value() - m_stock.value();
     int64_t elapsed = (now - m_updatedAt).count();
     // Compared by division, because elapsed times rate may not fit into 64 bits.
     if (elapsed > room / rate)
-        return toNanos(m_limits.burst);
-    return m_stock + TokenNanos(elapsed * rate);
+        return toNanoTokens(m_limits.burst);
+    return m_stock + NanoTokens(elapsed * rate);
 }
 
 void TokenBucket::advance(base::Instant now)
@@ -46,26 +46,26 @@
     if (amount < base::Tokens(0) || amount > m_limits.burst)
         return false;
     advance(now);
-    if (m_stock < toNanos(amount))
+    if (m_stock < toNanoTokens(amount))
         return false;
-    m_stock -= toNanos(amount);
+    m_stock -= toNanoTokens(amount);
     return true;
 }
 
-TokenNanos TokenBucket::add(TokenNanos amount, base::Instant now)
+NanoTokens TokenBucket::add(NanoTokens amount, base::Instant now)
 {
     advance(now);
-    TokenNanos room = toNanos(m_limits.burst) - m_stock;
-    TokenNanos added = std::clamp(amount, TokenNanos(0), room);
+    NanoTokens room = toNanoTokens(m_limits.burst) - m_stock;
+    NanoTokens added = std::clamp(amount, NanoTokens(0), room);
     m_stock += added;
     return added;
 }
 
-TokenNanos TokenBucket::drain(base::Instant now)
+NanoTokens TokenBucket::drain(base::Instant now)
 {
     advance(now);
-    TokenNanos drained = m_stock;
-    m_stock = TokenNanos(0);
+    NanoTokens drained = m_stock;
+    m_stock = NanoTokens(0);
     return drained;
 }
 
@@ -73,18 +73,18 @@
 {
     advance(now);
     m_limits = withinBounds(limits);
-    m_stock = std::min(m_stock, toNanos(m_limits.burst));
+    m_stock = std::min(m_stock, toNanoTokens(m_limits.burst));
 }
 
 std::optional<base::Instant> TokenBucket::availableAt(base::Tokens amount, base::Instant now) const
 {
-    TokenNanos balance = balanceAt(now);
+    NanoTokens balance = balanceAt(now);
     if (amount <= wholeTokens(balance))
         return now;
     int64_t rate = m_limits.tokensPerSecond.value();
     if (amount > m_limits.burst || !rate)
         return std::nullopt;
-    int64_t lacking = toNanos(amount).value() - balance.value();
+    int64_t lacking = toNanoTokens(amount).value() - balance.value();
     int64_t wait = lacking / rate + (lacking % rate ? 1 : 0);
     return std::max(now, m_updatedAt) + base::Duration(wait);
 }
--- a/packages/limits/test/LimitsFleet.h
+++ b/packages/limits/test/LimitsFleet.h
@@ -233,7 +233,7 @@
         BucketLimits slice = splitLimits(m_limits, gatewayCount)[share];
         m_gateways[gateway].table.take(shareId(share), m_rows[share].epoch, slice, m_now);
         if (m_fault == FleetFault::TakeOverStartsFull && fromEmpty)
-            m_gateways[gateway].table.acceptHandover({ shareId(share), m_rows[share].epoch - base::Epoch(1), toNanos(slice.burst) }, m_now);
+            m_gateways[gateway].table.acceptHandover({ shareId(share), m_rows[share].epoch - base::Epoch(1), toNanoTokens(slice.burst) }, m_now);
     }
 
     std::vector<ShareView> views(int gateway)
--- a/packages/limits/test/LimitsTest.cpp
+++ b/packages/limits/test/LimitsTest.cpp
@@ -145,7 +145,7 @@
 
 TEST(TokenBucket, AccruesToTheNanosecondAndStopsAtTheBurst)
 {
-    TokenBucket bucket(limitsOf(3, 10), TokenNanos(0), start);
+    TokenBucket bucket(limitsOf(3, 10), NanoTokens(0), start);
     Instant ready = *bucket.availableAt(Tokens(1), start);
     LONGS_EQUAL(333'333'334, (ready - start).count());
     CHECK_FALSE(bucket.take(Tokens(1), ready - Duration(1)));
@@ -156,7 +156,7 @@
 
 TEST(TokenBucket, ALoweredBurstCutsTheStockAtOnce)
 {
-    TokenBucket bucket(limitsOf(10, 100), toNanos(Tokens(100)), start);
+    TokenBucket bucket(limitsOf(10, 100), toNanoTokens(Tokens(100)), start);
     bucket.setLimits(limitsOf(10, 20), start);
     LONGS_EQUAL(20, wholeTokens(bucket.balanceAt(start)).value());
 }
@@ -206,7 +206,7 @@
 TEST(ShareHolder, EachChargeTakesOnceAlsoAfterItsReturn)
 {
     ShareHolder holder(limitsOf(0, 100), start);
-    holder.addHandedOver(toNanos(Tokens(100)), start);
+    holder.addHandedOver(toNanoTokens(Tokens(100)), start);
     LONGS_EQUAL(30, holder.charge(ChargeId("a"), Tokens(30), Tokens(30), start).value());
     LONGS_EQUAL(30, holder.charge(ChargeId("a"), Tokens(30), Tokens(30), start).value());
     LONGS_EQUAL(70, wholeTokens(holder.bucket().balanceAt(start)).value());
@@ -223,7 +223,7 @@
     ShareHolder taker(limitsOf(10, 100), start);
     Instant late = start + seconds(5);
     LONGS_EQUAL(50, taker.charge(ChargeId("a"), Tokens(50), Tokens(50), late).value());
-    LONGS_EQUAL(50, wholeTokens(taker.addHandedOver(toNanos(Tokens(100)), late)).value());
+    LONGS_EQUAL(50, wholeTokens(taker.addHandedOver(toNanoTokens(Tokens(100)), late)).value());
     LONGS_EQUAL(50, taker.charge(ChargeId("b"), Tokens(1), Tokens(100), late).value());
 }
 
@@ -234,7 +234,7 @@
 {
     return counterexample({ .seed = 7, .maxSuccess = 1000 }, [simplyAdded] {
         ShareHolder holder(limitsOf(20, 50), start, 8);
-        TokenBucket naive(limitsOf(20, 50), TokenNanos(0), start);
+        TokenBucket naive(limitsOf(20, 50), NanoTokens(0), start);
         WindowOracle oracle;
         oracle.limitsFrom(start, limitsOf(20, 50));
         struct Charge {
@@ -260,7 +260,7 @@
             open.erase(open.begin() + command.second % open.size());
             int64_t unused = charge.taken * command.first / 100;
             if (simplyAdded)
-                naive.add(toNanos(Tokens(unused)), now);
+                naive.add(toNanoTokens(Tokens(unused)), now);
             else
                 holder.refund(charge.id, Tokens(unused), now);
             oracle.used(charge.at, charge.taken - unused);
@@ -314,7 +314,7 @@
     CHECK_PROPERTY_WITH((PropertyOptions { .seed = 11, .maxSuccess = 500 }), [] {
         LimitsFleet fleet(limitsOf(30, 90));
         fleet.advance(seconds(3));
-        TokenBucket exact(limitsOf(30, 90), toNanos(Tokens(90)), fleet.now());
+        TokenBucket exact(limitsOf(30, 90), toNanoTokens(Tokens(90)), fleet.now());
         for (const Command& command : *rc::gen::arbitrary<std::vector<Command>>()) {
             Tokens cost(1 + command.second % 60);
             int request = fleet.offer(command.first % 3, cost.value());
@@ -328,7 +328,7 @@
             }
             // Time passes only while no share can fill up, as a full share loses what it would accrue.
             Duration step = milliseconds(100) * (command.second % 5);
-            if (exact.balanceAt(now + step) <= toNanos(Tokens(30)))
+            if (exact.balanceAt(now + step) <= toNanoTokens(Tokens(30)))
                 fleet.advance(step);
         }
     });
--- a/packages/limits/test/WindowOracle.h
+++ b/packages/limits/test/WindowOracle.h
@@ -25,7 +25,7 @@
         for (size_t first = 0; first < uses.size(); ++first) {
             __int128 sum = 0;
             for (size_t last = first; last < uses.size(); ++last) {
-                sum += static_cast<__int128>(uses[last].tokens) * nanosPerToken;
+                sum += static_cast<__int128>(uses[last].tokens) * nanoTokensPerToken;
                 __int128 allowed = allowedBetween(uses[first].at - allowance, uses[last].at);
                 if (sum > allowed)
                     return describe(uses[first].at, uses[last].at, sum, allowed);
@@ -57,14 +57,14 @@
             accrued += static_cast<__int128>((until - from).count()) * m_limits[index].limits.tokensPerSecond.value();
             burst = std::max(burst, m_limits[index].limits.burst.value());
         }
-        return accrued + static_cast<__int128>(burst) * nanosPerToken;
+        return accrued + static_cast<__int128>(burst) * nanoTokensPerToken;
     }
 
     static std::string describe(base::Instant from, base::Instant to, __int128 sum, __int128 allowed)
     {
         std::ostringstream text;
-        text << "window of " << (to - from).count() << " ns: used " << static_cast<double>(sum) / nanosPerToken << " tokens, allowed "
-             << static_cast<double>(allowed) / nanosPerToken;
+        text << "window of " << (to - from).count() << " ns: used " << static_cast<double>(sum) / nanoTokensPerToken << " tokens, allowed "
+             << static_cast<double>(allowed) / nanoTokensPerToken;
         return text.str();
     }
 
