--- a/packages/limits/include/toucanstep/limits/AdmissionPolicy.h
+++ b/packages/limits/include/toucanstep/limits/AdmissionPolicy.h
@@ -1,8 +1,8 @@
-// The ways to limit client accounts over all gateways, behind one interface, so that they can be compared on the same
-// arrivals. Shares are what the product runs; the others are baselines.
+// Policies that limit client accounts across all gateways, behind a common interface so that they can be compared on
+// the same arrivals. The product charges shares, as SharePolicy does; the others are baselines.
 //
-// One object stands for one gateway. Calls are synchronous: what a policy needs from elsewhere (another gateway's share,
-// the central counter) is behind an abstract interface that the caller implements.
+// One object represents one gateway. Calls are synchronous: what a policy needs from elsewhere (another gateway's
+// share, the central counter) is behind an abstract interface that the caller implements.
 
 #pragma once
 
@@ -23,42 +23,42 @@
 class AdmissionPolicy {
 public:
     virtual ~AdmissionPolicy() = default;
-    virtual void setLimits(const base::ClientAccountId&, BucketLimits whole, base::Instant now) = 0;
+    virtual void setLimits(const base::ClientAccountId&, BucketLimits total, base::Instant now) = 0;
     virtual PolicyDecision admit(const AccountCharge&, base::Instant now) = 0;
-    // The answer has ended: gives back what an admitted request did not use.
+    // Called when the response has ended; returns the unused tokens of an admitted request.
     virtual void settle(const base::RequestId&, base::Tokens unused, base::Instant now) = 0;
 };
 
-// Carries a message to a holder and waits for its reply; nothing where no reply came in time.
+// Delivers messages to share holders. charge() waits for the reply and returns nullopt if none arrives in time.
 class ChargeTransport {
 public:
     virtual ~ChargeTransport() = default;
     virtual std::optional<ChargeReply> charge(const base::InstanceId& to, const ChargeRequest&) = 0;
     virtual void send(const base::InstanceId& to, const ChargeMessage&) = 0;
-    // The shares of an account with their holders and latest hints.
+    // All shares of an account with their holders and latest hints.
     virtual std::vector<ShareView> shares(const base::ClientAccountId&, base::Instant now) = 0;
 };
 
-// Shares: the whole cost is charged to the holders of the account's shares.
+// Charges the full cost to the holders of the account's shares.
 class SharePolicy final : public AdmissionPolicy {
 public:
     SharePolicy(ChargeOptions, ChargeTransport&);
-    // Limits reach the holders through their ShareTable.
+    // Not used here: holders get the limits through their ShareTable.
     void setLimits(const base::ClientAccountId&, BucketLimits, base::Instant) override { }
     PolicyDecision admit(const AccountCharge&, base::Instant now) override;
     void settle(const base::RequestId&, base::Tokens unused, base::Instant now) override;
 
 private:
     ChargeOptions m_options;
-    ChargeTransport& m_exchange;
+    ChargeTransport& m_transport;
     absl::flat_hash_map<base::RequestId, std::vector<ChargedPart>> m_admitted;
 };
 
-// Baseline: each of N gateways has 1/N of every limit for itself.
+// Baseline: each of N gateways enforces 1/N of every limit on its own.
 class StaticPolicy final : public AdmissionPolicy {
 public:
     StaticPolicy(int gatewayIndex, int gatewayCount);
-    void setLimits(const base::ClientAccountId&, BucketLimits whole, base::Instant now) override;
+    void setLimits(const base::ClientAccountId&, BucketLimits total, base::Instant now) override;
     PolicyDecision admit(const AccountCharge&, base::Instant now) override;
     void settle(const base::RequestId&, base::Tokens unused, base::Instant now) override;
 
@@ -69,7 +69,7 @@
     absl::flat_hash_map<base::RequestId, base::ClientAccountId> m_admitted;
 };
 
-// Grants parts of an account's tokens, each with a time after which it is void.
+// Grants parts of an account's tokens as leases that expire.
 class LeaseAuthority {
 public:
     struct Grant {
@@ -77,25 +77,25 @@
         base::Instant expiresAt;
     };
     virtual ~LeaseAuthority() = default;
-    // Takes up to `wanted` from the account's bucket; nothing where the authority can't be reached.
+    // Takes up to `wanted` tokens from the account's bucket. Returns nullopt if the authority is unreachable.
     virtual std::optional<Grant> acquire(const base::ClientAccountId&, base::Tokens wanted, base::Instant now) = 0;
-    // When `amount` will be in the account's bucket.
+    // Earliest time at which the account's bucket holds `amount`.
     virtual std::optional<base::Instant> availableAt(const base::ClientAccountId&, base::Tokens amount, base::Instant now) = 0;
 };
 
-// Baseline: tokens are leased from an authority in blocks, and what a gateway holds is lost when the lease expires.
+// Baseline: gateways lease tokens in blocks from an authority; tokens left when the lease expires are lost.
 class LeasePolicy final : public AdmissionPolicy {
 public:
-    // `blocksPerBurst` blocks make up an account's burst.
+    // A block is an account's burst divided by `blocksPerBurst`.
     LeasePolicy(LeaseAuthority&, int64_t blocksPerBurst);
-    void setLimits(const base::ClientAccountId&, BucketLimits whole, base::Instant now) override;
+    void setLimits(const base::ClientAccountId&, BucketLimits total, base::Instant now) override;
     PolicyDecision admit(const AccountCharge&, base::Instant now) override;
-    // Unused tokens come back into the lease, as long as it runs.
+    // Returns unused tokens to the lease if it has not expired.
     void settle(const base::RequestId&, base::Tokens unused, base::Instant now) override;
 
 private:
     struct Leased {
-        BucketLimits whole;
+        BucketLimits total;
         base::Tokens amount;
         base::Instant expiresAt;
     };
@@ -106,7 +106,7 @@
     absl::flat_hash_map<base::RequestId, base::ClientAccountId> m_admitted;
 };
 
-// One account's bucket in the key-value service.
+// Stores each account's bucket in the key-value service.
 class CounterStore {
 public:
     struct Value {
@@ -115,21 +115,21 @@
         base::Instant updatedAt;
     };
     virtual ~CounterStore() = default;
-    // Nothing where the service can't be reached.
+    // Returns nullopt if the service is unreachable.
     virtual std::optional<Value> read(const base::ClientAccountId&) = 0;
-    // True where the write took effect, false where another came first, nothing where the answer was lost.
+    // Returns true if the write took effect, false if another write came first, nullopt if the reply was lost.
     virtual std::optional<bool> compareAndSwap(const base::ClientAccountId&, const Value& next) = 0;
 };
 
-// Baseline: one bucket in the key-value service, read and compare-and-swapped for every request.
+// Baseline: one bucket per account in the key-value service, read and updated by compare-and-swap on every request.
 class CentralPolicy final : public AdmissionPolicy {
 public:
-    // Tries the swap `attempts` times before it refuses.
+    // Refuses a request after `attempts` failed compare-and-swap operations.
     CentralPolicy(CounterStore&, int attempts);
-    void setLimits(const base::ClientAccountId&, BucketLimits whole, base::Instant now) override;
+    void setLimits(const base::ClientAccountId&, BucketLimits total, base::Instant now) override;
     PolicyDecision admit(const AccountCharge&, base::Instant now) override;
-    // Adds what was not used, up to the burst, by another compare-and-swap. Unlike a share this keeps no record of how
-    // full the bucket was in between, so an account can get more than its bound.
+    // Adds the unused tokens, up to the burst, by compare-and-swap. Unlike ShareHolder, this does not record how full
+    // the bucket was since the charge, so an account can exceed its bound.
     void settle(const base::RequestId&, base::Tokens unused, base::Instant now) override;
 
 private:
--- a/packages/limits/include/toucanstep/limits/ChargeCoordinator.h
+++ b/packages/limits/include/toucanstep/limits/ChargeCoordinator.h
@@ -1,11 +1,12 @@
-// Charges the whole cost of one request, at the gateway that admits it, before the request runs.
+// Charges the full cost of one request to the account's shares, on the admitting gateway and before the request runs.
 //
-// The planner asks the share that is fullest by hints for the whole cost; where no single share has it, it gathers parts
-// from all shares in their fixed order. It is a state machine: start(), onReply() and onTick() return the messages to
-// send, and outcome() is set once the request is admitted or refused. The caller calls onTick() at nextWakeUp().
+// The coordinator first tries to charge the full cost to a single share, the one with the highest balance according
+// to the hints. If no single share can cover the cost, it gathers parts from all shares in a fixed order. It is a
+// state machine: start(), onReply() and onTick() return the messages to send, and outcome() is set once the request
+// is admitted or refused. The caller must call onTick() at nextWakeUp().
 //
-//     ChargeCoordinator planner(options, { request, account, cost, deadline }, shares);
-//     send(planner.start(now));
+//     ChargeCoordinator coordinator(options, { request, account, cost, deadline }, shares);
+//     send(coordinator.start(now));
 
 #pragma once
 
@@ -18,28 +19,30 @@
 
 namespace toucanstep::limits {
 
-// A share as this gateway knows it: who holds it, and the latest hint with the local time of its arrival.
+// A share as known to this gateway: its holder, and the latest hint with the local time at which it arrived.
 struct ShareView {
     base::InstanceId holder;
     ShareHint hint;
     base::Instant observedAt;
-    // False once the holder stopped answering; its share then counts as empty.
+    // False once the holder has stopped replying or no longer holds the share; the share then counts as empty.
     bool reachable = true;
 
-    // The balance to expect now if nobody has taken from the share since.
+    // Expected balance at `now` if nothing has been taken from the share since the hint.
     NanoTokens expectedBalance(base::Instant now) const;
 };
 
 struct ChargeOptions {
-    // How long a holder may take to answer before the same charge is sent again, and before it counts as unreachable.
-    base::Duration answerTimeout = std::chrono::milliseconds(20);
-    // Tokens older than this when the last part arrives are given back instead of used: a request that is admitted late
-    // on old tokens would carry them into another window. By the times of admission the bound is therefore
-    // burst + rate x (window + gatherWindow); by the times of charging it is exact.
+    // How long to wait for a holder's reply before resending the charge, and again before treating the holder as
+    // unreachable.
+    base::Duration replyTimeout = std::chrono::milliseconds(20);
+    // If the oldest part is older than this when a part arrives, the parts are returned instead of used: a request
+    // admitted late on old tokens would carry them into another window. Counted at the times of admission, the bound
+    // is therefore burst + rate x (window + gatherWindow); counted at the times of charging, it is exact.
     base::Duration gatherWindow = std::chrono::milliseconds(100);
-    // Waits for tokens that accrue within this time instead of refusing.
+    // Wait instead of refusing if the missing tokens accrue within this time.
     base::Duration maximumWait {};
-    // The gateway's own share is asked first if it is at most this much less full, in thousandths of its burst.
+    // Charge the gateway's own share first if it is expected to cover the cost and its fill level is at most this
+    // much lower, in thousandths of its burst, than that of the share with the highest balance.
     int64_t ownShareMargin = 0;
     base::InstanceId self;
 };
@@ -51,7 +54,7 @@
     base::Instant deadline;
 };
 
-// A part of a cost and where it was taken.
+// Part of a request's cost, and the share that it was taken from.
 struct ChargedPart {
     base::InstanceId holder;
     ChargeId charge;
@@ -66,96 +69,97 @@
 
 struct ChargeRefused {
     base::RefusalCode code = base::RefusalCode::RateLimited;
-    // The first instant at which the reachable shares together hold the cost, if nothing else is taken from them; absent
-    // where waiting alone does not help.
+    // Earliest time at which the reachable shares together cover the cost if nothing else is taken from them. Empty
+    // if waiting alone does not help.
     std::optional<base::Instant> retryAt;
-    // Shares whose holder did not answer, or no longer holds them; they counted as empty.
+    // Number of shares counted as empty because the holder did not reply or no longer holds the share.
     int unreachableShares = 0;
 };
 
 using ChargeOutcome = std::variant<ChargeAdmitted, ChargeRefused>;
 
-// Gives `unused` tokens of an admitted request back, the last part first.
+// Builds the messages that return `unused` tokens of an admitted request, starting with the last part.
 std::vector<AddressedMessage> returnUnused(const std::vector<ChargedPart>&, base::Tokens unused);
 
 class ChargeCoordinator {
 public:
-    // `shares` are all shares of the account; the sum of their bursts is the account's burst.
+    // `shares` must contain all shares of the account; their bursts sum to the account's burst.
     ChargeCoordinator(ChargeOptions, AccountCharge, std::vector<ShareView> shares);
 
     std::vector<AddressedMessage> start(base::Instant now);
     std::vector<AddressedMessage> onReply(const ChargeReply&, base::Instant now);
     std::vector<AddressedMessage> onTick(base::Instant now);
-    // When onTick has something to do; nothing once there is an outcome.
+    // When to call onTick() next; nullopt once there is an outcome.
     std::optional<base::Instant> nextWakeUp() const;
     const std::optional<ChargeOutcome>& outcome() const { return m_outcome; }
-    // The shares with what the replies have told, to be kept as hints for the next request.
+    // The shares updated from the replies, to be kept as hints for the next request.
     const std::vector<ShareView>& shares() const { return m_shares; }
 
 private:
     enum class Phase {
-        WholeFromOne,
+        SingleShare,
         Gather,
-        // Another request gathers; ask for the turn again at m_resumeAt.
-        WaitingForTurn,
-        // Tokens accrue in time; begin anew at m_resumeAt.
+        // Another request holds the gather lock; retry at m_resumeAt.
+        WaitingForLock,
+        // Enough tokens will accrue in time; start over at m_resumeAt.
         WaitingForTokens,
     };
     struct Pending {
         size_t share = 0;
         ChargeRequest request;
         base::Instant sentAt;
-        base::Instant answerBy;
+        base::Instant replyDeadline;
         bool retried = false;
     };
 
     void proceed(base::Instant now);
-    void askWhole(base::Instant now);
+    void chargeFullCost(base::Instant now);
     void continueGather(base::Instant now);
     void finishPass(base::Instant now);
     void finishGather();
     void restart(base::Instant now);
     void refuseOrWait(base::Instant now);
     void refuseWith(base::RefusalCode, std::optional<base::Instant> retryAt);
-    void ask(size_t share, base::Tokens minimum, base::Tokens wanted, base::Duration lockTtl, base::Instant now);
-    void onAnswerTimeout(base::Instant now);
+    void sendCharge(size_t share, base::Tokens minimum, base::Tokens wanted, base::Duration lockTtl, base::Instant now);
+    void onReplyTimeout(base::Instant now);
     void returnCharge(const Pending&);
     void abandonPending();
-    void giveBackParts();
-    void endTurn();
-    void noteHint(size_t share, const ChargeReply&, base::Instant now);
+    void refundParts();
+    void releaseGatherLock();
+    void updateView(size_t share, const ChargeReply&, base::Instant now);
     void onGranted(const Pending&, const ChargeReply&, base::Instant now);
     void onBusy(const ChargeReply&, base::Instant now);
-    std::optional<size_t> fullestUnasked(base::Instant now) const;
-    std::optional<size_t> nextReachable(size_t from) const;
+    std::optional<size_t> fullestUntriedShare(base::Instant now) const;
+    std::optional<size_t> nextReachableShare(size_t from) const;
     void beginGather(base::Instant now);
     base::Tokens gathered() const;
-    base::Tokens levelAfterGather(base::Instant now) const;
+    base::Tokens gatherFloor(base::Instant now) const;
     base::Tokens expectedTotal(base::Instant now) const;
     std::optional<base::Instant> coveredAt(base::Instant now) const;
     std::vector<AddressedMessage> takeOutput();
 
     ChargeOptions m_options;
-    AccountCharge m_order;
-    // In the order of their indexes, which is the order of gathering at every gateway.
+    AccountCharge m_charge;
+    // Sorted by share index, so that all gateways gather in the same order.
     std::vector<ShareView> m_shares;
-    std::vector<bool> m_askedWhole;
-    Phase m_phase = Phase::WholeFromOne;
+    std::vector<bool> m_triedFullCost;
+    Phase m_phase = Phase::SingleShare;
     size_t m_nextInPass = 0;
-    // What the first pass of a gathering leaves in each share, so that none stays full and loses what it accrues.
-    base::Tokens m_gatherLevel;
-    // The share at which this request has the turn to gather.
-    std::optional<size_t> m_turnAt;
+    // Tokens that the first pass of a gather leaves in each share, so that no share stays full and loses what it
+    // would accrue.
+    base::Tokens m_gatherFloor;
+    // The share whose gather lock this request holds.
+    std::optional<size_t> m_lockedShare;
     std::optional<Pending> m_pending;
     std::optional<base::Instant> m_resumeAt;
     base::Instant m_startedAt;
-    // Since when this request waits for the turn.
-    std::optional<base::Instant> m_turnWantedAt;
+    // When this request first found the gather lock held by another request.
+    std::optional<base::Instant> m_lockRequestedAt;
     std::vector<ChargedPart> m_parts;
-    // When the oldest of m_parts was asked for, by this gateway's clock.
+    // When the charge for the oldest of m_parts was sent, by this gateway's clock.
     base::Instant m_oldestPartSentAt;
     int m_nextCharge = 0;
-    // Charges that count against the bound on one request's work.
+    // Charges that count towards the limit per request.
     int m_chargesSent = 0;
     int m_restarts = 0;
     std::vector<AddressedMessage> m_output;
--- a/packages/limits/include/toucanstep/limits/Messages.h
+++ b/packages/limits/include/toucanstep/limits/Messages.h
@@ -1,6 +1,7 @@
-// Shares of client accounts' limits, and the messages by which gateways charge one another's shares.
+// Shares of client accounts' limits, and the messages that gateways exchange to charge shares held elsewhere.
 //
-// A share is a slice of an account's rate and burst with one holder. The slices of an account sum to exactly its limits.
+// A share is a slice of an account's rate and burst and has a single holder. The slices of an account sum to exactly
+// its limits.
 
 #pragma once
 
@@ -14,12 +15,12 @@
 
 namespace toucanstep::limits {
 
-// One try of a request to take tokens from one share. A retry of the same try carries the same id.
+// Identifies one attempt of a request to take tokens from one share. A retransmission carries the same id.
 using ChargeId = base::StrongId<struct ChargeIdTag>;
 
 struct ShareId {
     base::ClientAccountId account;
-    // From 0; also the order in which gateways gather from several shares.
+    // Zero-based; also the order in which gateways gather from several shares.
     int index = 0;
 
     friend auto operator<=>(const ShareId&, const ShareId&) = default;
@@ -32,11 +33,12 @@
     }
 };
 
-// The slices of `whole` for `count` shares (at least one). Remainders go one token each to the first shares, so the
-// slices sum to exactly `whole`.
-std::vector<BucketLimits> splitLimits(BucketLimits whole, int count);
+// Splits `total` into `count` slices (at least one). The remainder is distributed one token each to the first slices,
+// so that the slices sum to exactly `total`.
+std::vector<BucketLimits> splitLimits(BucketLimits total, int count);
 
-// The state of a share as its holder sees it; rides on every reply, and on other messages between gateways.
+// State of a share as seen by its holder. Included in every charge reply and piggybacked on other messages between
+// gateways.
 struct ShareHint {
     ShareId share;
     base::Epoch epoch;
@@ -47,23 +49,23 @@
 struct ChargeRequest {
     ChargeId charge;
     ShareId share;
-    // The epoch of the row by which the sender found the holder; another epoch is answered NotHolder.
+    // Epoch of the assignment row in which the sender found the holder. A holder in another epoch replies NotHolder.
     base::Epoch epoch;
-    // Takes as much as is in balance between the two bounds, or nothing.
+    // The holder takes as much as is available between the two bounds, or nothing.
     base::Tokens minimum;
     base::Tokens wanted;
-    // Set on the first share of a gathering: asks for the turn to gather, for this long at most. Zero asks for none.
+    // Set on the first charge of a gather: requests the gather lock for at most this time. Zero requests no lock.
     base::Duration lockTtl {};
-    // Which request gathers; all its charges carry the same value.
+    // The gathering request; the same on all its charges.
     base::RequestId gatherer;
 };
 
 enum class ChargeResult {
     Granted,
     Insufficient,
-    // Another request is gathering; ask again when `retryAfter` has passed.
+    // Another request holds the gather lock; retry after `retryAfter`.
     Busy,
-    // The receiver does not hold the share in that epoch; nothing was taken.
+    // The receiver does not hold the share in the given epoch; nothing was taken.
     NotHolder,
 };
 
@@ -75,7 +77,7 @@
     ShareHint hint;
 };
 
-// Gives back what a charge did not use; its first arrival settles the charge and later ones do nothing.
+// Returns the unused tokens of a charge. The first copy settles the charge; further copies have no effect.
 struct ChargeReturn {
     ChargeId charge;
     ShareId share;
@@ -83,17 +85,17 @@
     base::Tokens unused;
 };
 
-// Ends the turn to gather before its time.
+// Releases the gather lock before it expires.
 struct GatherUnlock {
     ShareId share;
     base::Epoch epoch;
     base::RequestId gatherer;
 };
 
-// The balance of a share that its holder gave up on a planned stop. The holder has already dropped it.
+// Balance of a share released by its holder in a planned shutdown. The sender has already dropped it.
 struct Handover {
     ShareId share;
-    // The giver's epoch; the taker holds the row in the next one.
+    // Epoch of the previous holder; the new holder has the row in the next epoch.
     base::Epoch epoch;
     NanoTokens balance;
 };
--- a/packages/limits/include/toucanstep/limits/ShareHolder.h
+++ b/packages/limits/include/toucanstep/limits/ShareHolder.h
@@ -1,8 +1,10 @@
-// One share at its holder: a bucket that is charged once per charge id, and takes back what charges did not use.
+// Token bucket of one share, kept by the share's holder. Charges are idempotent by charge id, and unused tokens can
+// be refunded.
 //
-// A refund is not simply added. Tokens that came back after the bucket had filled up in between would let an account
-// take its burst twice in one instant; so a refund adds only as much as the bucket would now hold had the charge been
-// smaller from the start. Net charges, each counted at the time it was made, then keep burst + rate x time in every window.
+// A refund is not simply added to the balance: if the bucket has filled up since the charge, the account could spend
+// its burst twice at the same instant. A refund therefore adds only what the bucket would now hold had the charge
+// been smaller from the start. Net charges, counted at the time of the charge, then stay within burst + rate x time
+// in every window.
 
 #pragma once
 
@@ -16,57 +18,58 @@
 
 class ShareHolder {
 public:
-    // Charges that are remembered. An older one can no longer be refunded, and a late duplicate of it is charged again:
-    // both lose tokens of the account and never give any.
-    static constexpr size_t defaultMemory = 4096;
+    // Number of charges kept for deduplication and refunds. A charge that has been evicted can no longer be refunded,
+    // and a late duplicate of it is charged again: the account can lose tokens by this but never gain any.
+    static constexpr size_t defaultMaximumEntries = 4096;
 
-    // Starts with an empty bucket: the previous holder may have spent all that had accrued.
-    ShareHolder(BucketLimits, base::Instant now, size_t memory = defaultMemory);
+    // Starts with an empty bucket because the previous holder may have spent everything that had accrued.
+    ShareHolder(BucketLimits, base::Instant now, size_t maximumEntries = defaultMaximumEntries);
 
-    // Takes between `minimum` and `wanted`; returns what was taken, which is zero where the balance lacks. A known id
-    // returns what its first arrival took.
+    // Takes between `minimum` and `wanted` tokens and returns the amount taken, or zero if the balance is
+    // insufficient. For a known id, returns the amount taken the first time.
     base::Tokens charge(const ChargeId&, base::Tokens minimum, base::Tokens wanted, base::Instant now);
-    // Returns what was added. An unknown id is remembered, so that a charge that arrives after its return takes nothing.
+    // Returns the amount added. An unknown id is recorded as settled, so that a charge that arrives after its return
+    // takes nothing.
     NanoTokens refund(const ChargeId&, base::Tokens unused, base::Instant now);
     void setLimits(BucketLimits, base::Instant now);
-    // Adds what the previous holder had left, as if it had been here from the beginning: a balance that arrives late does not
-    // come on top of what has accrued since. Returns what was added.
+    // Adds the previous holder's remaining balance as if it had been there since the takeover: only what would have
+    // fitted into the bucket all the time since then is added. Returns the amount added.
     NanoTokens addHandedOver(NanoTokens, base::Instant now);
-    // Gives up the balance and forgets all charges.
+    // Empties the bucket, forgets all charges and returns the remaining balance.
     NanoTokens drop(base::Instant now);
 
-    // Gives the turn to gather to `gatherer` until `until`, unless another has it.
-    bool takeTurn(const base::RequestId& gatherer, base::Instant until, base::Instant now);
-    void endTurn(const base::RequestId& gatherer);
-    std::optional<base::Instant> turnEndsAt(base::Instant now) const;
+    // Acquires the gather lock for `gatherer` until `expiresAt`. Fails if another request holds an unexpired lock.
+    bool acquireGatherLock(const base::RequestId& gatherer, base::Instant expiresAt, base::Instant now);
+    void releaseGatherLock(const base::RequestId& gatherer);
+    std::optional<base::Instant> gatherLockExpiresAt(base::Instant now) const;
 
     const TokenBucket& bucket() const { return m_bucket; }
 
 private:
-    // A charge, and the least room below the burst that the bucket had between this charge and the next one.
+    // A charge, and the minimum headroom below the burst between this charge and the next one.
     struct Entry {
         ChargeId id;
         base::Tokens taken;
-        NanoTokens leastRoom;
+        NanoTokens minimumHeadroom;
         bool settled = false;
     };
-    struct Turn {
+    struct GatherLock {
         base::RequestId gatherer;
-        base::Instant until;
+        base::Instant expiresAt;
     };
 
-    void noteRoom(base::Instant now);
-    void remember(const ChargeId&, base::Tokens taken, bool settled);
-    NanoTokens leastRoomSince(size_t position) const;
-    NanoTokens addAsOf(size_t position, NanoTokens wanted, base::Instant now);
+    void recordHeadroom(base::Instant now);
+    void addEntry(const ChargeId&, base::Tokens taken, bool settled);
+    NanoTokens minimumHeadroomSince(size_t position) const;
+    NanoTokens addBackdated(size_t position, NanoTokens wanted, base::Instant now);
 
     TokenBucket m_bucket;
     std::deque<Entry> m_entries;
-    // Where an entry stands, counted from the first entry ever remembered.
+    // Position of each entry, counted from the first entry ever added, including evicted ones.
     absl::flat_hash_map<ChargeId, size_t> m_positions;
-    size_t m_forgotten = 0;
-    size_t m_memory;
-    std::optional<Turn> m_turn;
+    size_t m_evictedCount = 0;
+    size_t m_maximumEntries;
+    std::optional<GatherLock> m_gatherLock;
 };
 
 } // namespace toucanstep::limits
--- a/packages/limits/include/toucanstep/limits/ShareTable.h
+++ b/packages/limits/include/toucanstep/limits/ShareTable.h
@@ -1,4 +1,5 @@
-// The shares that this gateway holds. Rows come and go through `take` and `release`; messages are answered by epoch.
+// Shares held by this gateway. take() and release() follow changes of the assignment rows; messages are accepted only
+// for the epoch in which the share is held.
 
 #pragma once
 
@@ -11,20 +12,21 @@
 
 class ShareTable {
 public:
-    // Holds a share from now on, from the empty state. A share that is already held in this or a newer epoch stays.
+    // Starts holding a share with an empty bucket. No effect if it is already held in this or a newer epoch.
     void take(const ShareId&, base::Epoch, BucketLimits, base::Instant now);
-    // Stops using a share and returns its balance for the next holder. The balance is dropped here before it can be added
-    // elsewhere. Nothing where the share is not held.
+    // Stops holding a share and returns its balance for the next holder, or nullopt if the share is not held. The
+    // balance is dropped here before it can be added elsewhere.
     std::optional<Handover> release(const ShareId&, base::Instant now);
-    // Stops using all shares with no handover, for example because this instance may have been replaced.
+    // Stops holding all shares without a handover, for example because this instance may have been replaced.
     void dropAll();
-    // Adds a balance that was handed over, once and only where this table holds the epoch after the giver's.
+    // Adds a handed-over balance. Accepted once per share, and only if the share is held in the epoch after the
+    // sender's.
     bool acceptHandover(const Handover&, base::Instant now);
-    // Applies the account's limits, cut into `shareCount` slices, to the shares held here.
-    void setLimits(const base::ClientAccountId&, BucketLimits whole, int shareCount, base::Instant now);
+    // Splits the account's limits into `shareCount` slices and applies them to the shares held here.
+    void setLimits(const base::ClientAccountId&, BucketLimits total, int shareCount, base::Instant now);
 
     ChargeReply onCharge(const ChargeRequest&, base::Instant now);
-    // Returns what was added to the balance.
+    // Returns the amount added to the balance.
     NanoTokens onReturn(const ChargeReturn&, base::Instant now);
     void onGatherUnlock(const GatherUnlock&);
 
--- a/packages/limits/include/toucanstep/limits/TokenBucket.h
+++ b/packages/limits/include/toucanstep/limits/TokenBucket.h
@@ -1,4 +1,4 @@
-// A token bucket in integers: exact in tokens times nanoseconds, so no rounding ever gives or takes a token.
+// Token bucket in integer arithmetic. Balances are exact to the nanotoken, so rounding never creates or loses tokens.
 //
 //     TokenBucket bucket({ Tokens(100), Tokens(500) }, NanoTokens(0), now);
 //     if (bucket.take(Tokens(20), now)) ...
@@ -12,18 +12,18 @@
 
 namespace toucanstep::limits {
 
-// Tokens times 10^9: the balance after one nanosecond at one token a second is 1.
+// Billionths of a token. At one token per second, one accrues per nanosecond.
 using NanoTokens = base::StrongNumber<struct NanoTokensTag>;
 
 constexpr int64_t nanoTokensPerToken = 1'000'000'000;
-// Above these a balance would not fit into 64 bits; larger limits are cut to them.
+// Above these values a balance would overflow 64 bits; larger limits are clamped.
 constexpr int64_t maximumRate = 4'000'000'000;
 constexpr int64_t maximumBurst = 4'000'000'000;
 
 constexpr NanoTokens toNanoTokens(base::Tokens tokens) { return NanoTokens(tokens.value() * nanoTokensPerToken); }
 constexpr base::Tokens wholeTokens(NanoTokens balance) { return base::Tokens(balance.value() / nanoTokensPerToken); }
 
-// A rate in tokens a second and the most that may be in balance. Negative values count as zero.
+// Refill rate and maximum balance. Negative values count as zero.
 struct BucketLimits {
     base::Tokens tokensPerSecond;
     base::Tokens burst;
@@ -33,28 +33,28 @@
 
 class TokenBucket {
 public:
-    // `balance` is cut to the burst.
+    // `balance` is clamped to the burst.
     TokenBucket(BucketLimits, NanoTokens balance, base::Instant now);
 
     const BucketLimits& limits() const { return m_limits; }
-    // A time before the latest one seen gives the latest balance: a bucket never runs backwards.
+    // For a time before the latest update, returns the latest balance: the bucket's clock never goes backwards.
     NanoTokens balanceAt(base::Instant now) const;
-    // Takes all of `amount`, or nothing and returns false.
+    // Takes all of `amount`, or returns false and takes nothing.
     bool take(base::Tokens amount, base::Instant now);
-    // Adds as much as fits below the burst, and returns what was added.
+    // Adds as much as fits below the burst and returns the amount added.
     NanoTokens add(NanoTokens amount, base::Instant now);
-    // Empties the bucket and returns what was in it.
+    // Empties the bucket and returns the previous balance.
     NanoTokens drain(base::Instant now);
-    // Time up to `now` accrues at the old rate; a lower burst cuts the balance at once.
+    // Time up to `now` accrues at the old rate. A lower burst truncates the balance immediately.
     void setLimits(BucketLimits, base::Instant now);
-    // The first instant at which `amount` is in balance if nothing else is taken; nothing where that never comes.
+    // Earliest time at which the balance reaches `amount` if nothing else is taken, or nullopt if it never does.
     std::optional<base::Instant> availableAt(base::Tokens amount, base::Instant now) const;
 
 private:
     void advance(base::Instant now);
 
     BucketLimits m_limits;
-    NanoTokens m_stock;
+    NanoTokens m_balance;
     base::Instant m_updatedAt;
 };
 
--- a/packages/limits/src/CentralPolicy.cpp
+++ b/packages/limits/src/CentralPolicy.cpp
@@ -8,32 +8,32 @@
 {
 }
 
-void CentralPolicy::setLimits(const base::ClientAccountId& account, BucketLimits whole, base::Instant)
+void CentralPolicy::setLimits(const base::ClientAccountId& account, BucketLimits total, base::Instant)
 {
-    m_limits[account] = whole;
+    m_limits[account] = total;
 }
 
-PolicyDecision CentralPolicy::admit(const AccountCharge& order, base::Instant now)
+PolicyDecision CentralPolicy::admit(const AccountCharge& charge, base::Instant now)
 {
-    auto limits = m_limits.find(order.account);
+    auto limits = m_limits.find(charge.account);
     if (limits == m_limits.end())
         return {};
-    if (order.cost > limits->second.burst)
+    if (charge.cost > limits->second.burst)
         return { .code = base::RefusalCode::CostAboveBurst };
     for (int attempt = 0; attempt < m_attempts; ++attempt) {
-        std::optional<CounterStore::Value> value = m_store.read(order.account);
+        std::optional<CounterStore::Value> value = m_store.read(charge.account);
         if (!value)
             return { .code = base::RefusalCode::StoreUnavailable };
         TokenBucket bucket(limits->second, value->balance, value->updatedAt);
-        if (!bucket.take(order.cost, now))
-            return { .retryAt = bucket.availableAt(order.cost, now) };
+        if (!bucket.take(charge.cost, now))
+            return { .retryAt = bucket.availableAt(charge.cost, now) };
         base::Instant updatedAt = std::max(now, value->updatedAt);
-        auto written = m_store.compareAndSwap(order.account, { value->revision, bucket.balanceAt(updatedAt), updatedAt });
-        // A write whose answer was lost may have taken the tokens; they count as spent.
+        auto written = m_store.compareAndSwap(charge.account, { value->revision, bucket.balanceAt(updatedAt), updatedAt });
+        // A write whose reply was lost may have taken effect, so the tokens count as spent.
         if (!written)
             return { .code = base::RefusalCode::StoreUnavailable };
         if (*written) {
-            m_admitted[order.request] = order.account;
+            m_admitted[charge.request] = charge.account;
             return { .admitted = true };
         }
     }
@@ -54,7 +54,7 @@
         TokenBucket bucket(m_limits.at(account), value->balance, value->updatedAt);
         bucket.add(toNanoTokens(unused), now);
         base::Instant updatedAt = std::max(now, value->updatedAt);
-        // A lost answer is not tried again: the tokens might be added twice.
+        // A write whose reply was lost is not retried, because the tokens could be added twice.
         if (m_store.compareAndSwap(account, { value->revision, bucket.balanceAt(updatedAt), updatedAt }).value_or(true))
             return;
     }
--- a/packages/limits/src/ChargeCoordinator.cpp
+++ b/packages/limits/src/ChargeCoordinator.cpp
@@ -8,19 +8,19 @@
 
 namespace {
 
-// Bounds on the work for one request, so that unlucky races end in a refusal instead of a loop.
+// Limits on the work for one request, so that repeated races end in a refusal instead of an endless loop.
 constexpr int maximumCharges = 64;
 constexpr int maximumRestarts = 3;
-// How many gather windows a request waits for its turn before it gathers without one. The turn only keeps two gatherings
-// from taking one another's parts; the bound never depends on it.
-constexpr int turnWaitWindows = 2;
+// How many gather windows a request waits for the gather lock before it gathers without it. The lock only keeps two
+// gathers from taking parts that the other needs; the rate bound does not depend on it.
+constexpr int lockWaitWindows = 2;
 
-base::Tokens wholeExpected(const ShareView& share, base::Instant now)
+base::Tokens expectedTokens(const ShareView& share, base::Instant now)
 {
     return share.reachable ? wholeTokens(share.expectedBalance(now)) : base::Tokens(0);
 }
 
-int64_t fullness(const ShareView& share, base::Instant now)
+int64_t fillPerMille(const ShareView& share, base::Instant now)
 {
     int64_t burst = share.hint.limits.burst.value();
     return burst > 0 ? share.expectedBalance(now).value() / burst / (nanoTokensPerToken / 1000) : 0;
@@ -44,11 +44,11 @@
     return messages;
 }
 
-ChargeCoordinator::ChargeCoordinator(ChargeOptions options, AccountCharge order, std::vector<ShareView> shares)
+ChargeCoordinator::ChargeCoordinator(ChargeOptions options, AccountCharge charge, std::vector<ShareView> shares)
     : m_options(std::move(options))
-    , m_order(std::move(order))
+    , m_charge(std::move(charge))
     , m_shares(std::move(shares))
-    , m_askedWhole(m_shares.size(), false)
+    , m_triedFullCost(m_shares.size(), false)
 {
     std::sort(m_shares.begin(), m_shares.end(), [](const ShareView& left, const ShareView& right) { return left.hint.share < right.hint.share; });
 }
@@ -59,9 +59,9 @@
     base::Tokens burst;
     for (const auto& share : m_shares)
         burst += share.hint.limits.burst;
-    if (m_order.cost <= base::Tokens(0))
+    if (m_charge.cost <= base::Tokens(0))
         m_outcome = ChargeAdmitted {};
-    else if (m_order.cost > burst)
+    else if (m_charge.cost > burst)
         refuseWith(base::RefusalCode::CostAboveBurst, std::nullopt);
     else
         proceed(now);
@@ -70,16 +70,17 @@
 
 std::vector<AddressedMessage> ChargeCoordinator::onReply(const ChargeReply& reply, base::Instant now)
 {
-    // An answer that was given up, or came twice, is not used: its charge has been returned or already counted.
+    // Ignore replies to abandoned charges and duplicates: the charge has already been returned or counted.
     if (m_outcome || !m_pending || m_pending->request.charge != reply.charge)
         return {};
-    // After a pause the answer may be read before the clock: tokens of a request that nobody waits for go back.
-    if (now >= m_order.deadline)
+    // After a process pause the reply may be read before the timer fires. Return the tokens, since the caller no
+    // longer waits.
+    if (now >= m_charge.deadline)
         return onTick(now);
     Pending answered = *m_pending;
     m_pending.reset();
-    noteHint(answered.share, reply, now);
-    // The second copy of a charge that was sent again may still be granted; nobody will use it.
+    updateView(answered.share, reply, now);
+    // The retransmitted copy of the charge may still be granted later; return what it takes.
     if (answered.retried && reply.result != ChargeResult::Granted)
         returnCharge(answered);
     switch (reply.result) {
@@ -92,7 +93,7 @@
     case ChargeResult::Insufficient:
     case ChargeResult::NotHolder:
         if (answered.request.lockTtl > base::Duration::zero() && reply.result == ChargeResult::Insufficient)
-            m_turnAt = answered.share;
+            m_lockedShare = answered.share;
         proceed(now);
         break;
     }
@@ -103,15 +104,15 @@
 {
     if (m_outcome)
         return {};
-    if (now >= m_order.deadline) {
+    if (now >= m_charge.deadline) {
         abandonPending();
         refuseWith(base::RefusalCode::DeadlineExceeded, std::nullopt);
-    } else if (m_pending && now >= m_pending->answerBy) {
-        onAnswerTimeout(now);
+    } else if (m_pending && now >= m_pending->replyDeadline) {
+        onReplyTimeout(now);
     } else if (m_resumeAt && now >= *m_resumeAt) {
         m_resumeAt.reset();
-        bool forTurn = m_phase == Phase::WaitingForTurn;
-        m_phase = forTurn ? Phase::Gather : Phase::WholeFromOne;
+        bool forLock = m_phase == Phase::WaitingForLock;
+        m_phase = forLock ? Phase::Gather : Phase::SingleShare;
         proceed(now);
     }
     return takeOutput();
@@ -121,9 +122,9 @@
 {
     if (m_outcome)
         return std::nullopt;
-    base::Instant next = m_order.deadline;
+    base::Instant next = m_charge.deadline;
     if (m_pending)
-        next = std::min(next, m_pending->answerBy);
+        next = std::min(next, m_pending->replyDeadline);
     if (m_resumeAt)
         next = std::min(next, *m_resumeAt);
     return next;
@@ -136,16 +137,16 @@
     else if (m_phase == Phase::Gather)
         continueGather(now);
     else
-        askWhole(now);
+        chargeFullCost(now);
 }
 
-// A share that is asked for the whole cost and lacks it gives nothing but its exact balance. So a request that can't be
-// covered takes nothing from anybody while it finds that out.
-void ChargeCoordinator::askWhole(base::Instant now)
+// A share that can't cover the full cost takes nothing and replies with its exact balance. A request that can't be
+// covered therefore takes no tokens while it finds that out.
+void ChargeCoordinator::chargeFullCost(base::Instant now)
 {
-    std::optional<size_t> best = fullestUnasked(now);
-    bool bestCovers = best && wholeExpected(m_shares[*best], now) >= m_order.cost;
-    if (!bestCovers && expectedTotal(now) >= m_order.cost) {
+    std::optional<size_t> best = fullestUntriedShare(now);
+    bool bestCovers = best && expectedTokens(m_shares[*best], now) >= m_charge.cost;
+    if (!bestCovers && expectedTotal(now) >= m_charge.cost) {
         beginGather(now);
         return;
     }
@@ -153,59 +154,59 @@
         refuseOrWait(now);
         return;
     }
-    m_askedWhole[*best] = true;
-    ask(*best, m_order.cost, m_order.cost, base::Duration::zero(), now);
+    m_triedFullCost[*best] = true;
+    sendCharge(*best, m_charge.cost, m_charge.cost, base::Duration::zero(), now);
 }
 
 void ChargeCoordinator::beginGather(base::Instant now)
 {
     m_phase = Phase::Gather;
     m_nextInPass = 0;
-    m_gatherLevel = levelAfterGather(now);
+    m_gatherFloor = gatherFloor(now);
     continueGather(now);
 }
 
 void ChargeCoordinator::continueGather(base::Instant now)
 {
-    std::optional<size_t> next = nextReachable(m_nextInPass);
+    std::optional<size_t> next = nextReachableShare(m_nextInPass);
     if (!next) {
         finishPass(now);
         return;
     }
-    bool waitedLong = m_turnWantedAt && now - *m_turnWantedAt >= turnWaitWindows * m_options.gatherWindow;
-    bool asksTurn = !m_turnAt && m_parts.empty() && !waitedLong && next == nextReachable(0);
+    bool lockWaitExpired = m_lockRequestedAt && now - *m_lockRequestedAt >= lockWaitWindows * m_options.gatherWindow;
+    bool acquiresLock = !m_lockedShare && m_parts.empty() && !lockWaitExpired && next == nextReachableShare(0);
     m_nextInPass = *next + 1;
-    base::Tokens aboveLevel = std::max(base::Tokens(1), wholeExpected(m_shares[*next], now) - m_gatherLevel);
-    base::Tokens wanted = std::min(m_order.cost - gathered(), aboveLevel);
-    ask(*next, base::Tokens(1), wanted, asksTurn ? m_options.gatherWindow : base::Duration::zero(), now);
+    base::Tokens aboveFloor = std::max(base::Tokens(1), expectedTokens(m_shares[*next], now) - m_gatherFloor);
+    base::Tokens wanted = std::min(m_charge.cost - gathered(), aboveFloor);
+    sendCharge(*next, base::Tokens(1), wanted, acquiresLock ? m_options.gatherWindow : base::Duration::zero(), now);
 }
 
 void ChargeCoordinator::finishPass(base::Instant now)
 {
-    // Tokens that accrued at the first holders while the last ones were asked may be enough by now.
-    if (expectedTotal(now) + gathered() >= m_order.cost && now - m_oldestPartSentAt < m_options.gatherWindow) {
+    // Tokens accrued at the first holders during the pass may now suffice.
+    if (expectedTotal(now) + gathered() >= m_charge.cost && now - m_oldestPartSentAt < m_options.gatherWindow) {
         m_nextInPass = 0;
-        m_gatherLevel = base::Tokens(0);
-        if (nextReachable(0)) {
+        m_gatherFloor = base::Tokens(0);
+        if (nextReachableShare(0)) {
             continueGather(now);
             return;
         }
     }
-    bool covered = expectedTotal(now) + gathered() >= m_order.cost;
+    bool covered = expectedTotal(now) + gathered() >= m_charge.cost;
     if (covered) {
         restart(now);
         return;
     }
     finishGather();
-    m_phase = Phase::WholeFromOne;
+    m_phase = Phase::SingleShare;
     refuseOrWait(now);
 }
 
 void ChargeCoordinator::finishGather()
 {
-    giveBackParts();
-    endTurn();
-    m_turnWantedAt.reset();
+    refundParts();
+    releaseGatherLock();
+    m_lockRequestedAt.reset();
 }
 
 void ChargeCoordinator::restart(base::Instant now)
@@ -215,51 +216,51 @@
         refuseWith(base::RefusalCode::RateLimited, coveredAt(now));
         return;
     }
-    m_phase = Phase::WholeFromOne;
-    m_askedWhole.assign(m_shares.size(), false);
+    m_phase = Phase::SingleShare;
+    m_triedFullCost.assign(m_shares.size(), false);
     proceed(now);
 }
 
 void ChargeCoordinator::refuseOrWait(base::Instant now)
 {
-    std::optional<base::Instant> at = coveredAt(now);
-    base::Instant waitLimit = std::min(m_startedAt + m_options.maximumWait, m_order.deadline);
-    bool waits = at && *at <= waitLimit && m_options.maximumWait > base::Duration::zero();
+    std::optional<base::Instant> retryAt = coveredAt(now);
+    base::Instant waitLimit = std::min(m_startedAt + m_options.maximumWait, m_charge.deadline);
+    bool waits = retryAt && *retryAt <= waitLimit && m_options.maximumWait > base::Duration::zero();
     if (!waits) {
-        refuseWith(base::RefusalCode::RateLimited, at);
+        refuseWith(base::RefusalCode::RateLimited, retryAt);
         return;
     }
     m_phase = Phase::WaitingForTokens;
-    m_askedWhole.assign(m_shares.size(), false);
-    m_resumeAt = std::max(*at, now + base::Duration(1));
+    m_triedFullCost.assign(m_shares.size(), false);
+    m_resumeAt = std::max(*retryAt, now + base::Duration(1));
 }
 
 void ChargeCoordinator::refuseWith(base::RefusalCode code, std::optional<base::Instant> retryAt)
 {
-    giveBackParts();
-    endTurn();
-    int missing = static_cast<int>(std::count_if(m_shares.begin(), m_shares.end(), [](const ShareView& share) { return !share.reachable; }));
-    m_outcome = ChargeRefused { code, retryAt, missing };
+    refundParts();
+    releaseGatherLock();
+    int unreachable = static_cast<int>(std::count_if(m_shares.begin(), m_shares.end(), [](const ShareView& share) { return !share.reachable; }));
+    m_outcome = ChargeRefused { code, retryAt, unreachable };
 }
 
-void ChargeCoordinator::ask(size_t share, base::Tokens minimum, base::Tokens wanted, base::Duration lockTtl, base::Instant now)
+void ChargeCoordinator::sendCharge(size_t share, base::Tokens minimum, base::Tokens wanted, base::Duration lockTtl, base::Instant now)
 {
     const ShareView& view = m_shares[share];
-    ChargeId id(base::concat(m_order.request, "/", m_nextCharge++));
+    ChargeId id(base::concat(m_charge.request, "/", m_nextCharge++));
     ++m_chargesSent;
-    ChargeRequest request { id, view.hint.share, view.hint.epoch, minimum, wanted, lockTtl, m_order.request };
+    ChargeRequest request { id, view.hint.share, view.hint.epoch, minimum, wanted, lockTtl, m_charge.request };
     m_output.push_back({ view.holder, request });
-    m_pending = Pending { share, request, now, now + m_options.answerTimeout };
+    m_pending = Pending { share, request, now, now + m_options.replyTimeout };
 }
 
-// Failure guarded against: the holder charged, but its answer was lost. Asking again under the same id charges nothing
-// twice. If that answer is lost too, the charge counts as spent: the request goes on at other shares and never uses a late
-// answer, so returning the charge, should the return arrive, gives back only what nobody was admitted with.
-void ChargeCoordinator::onAnswerTimeout(base::Instant now)
+// Handles a charge whose reply may have been lost. Resending it under the same id does not charge twice. If there is
+// no reply to that either, the charge counts as spent: the request continues with other shares and ignores late
+// replies, so the return, if it arrives, only gives back tokens that no request was admitted with.
+void ChargeCoordinator::onReplyTimeout(base::Instant now)
 {
     if (!m_pending->retried) {
         m_pending->retried = true;
-        m_pending->answerBy = now + m_options.answerTimeout;
+        m_pending->replyDeadline = now + m_options.replyTimeout;
         m_output.push_back({ m_shares[m_pending->share].holder, m_pending->request });
         return;
     }
@@ -282,11 +283,11 @@
     const ChargeRequest& request = m_pending->request;
     const base::InstanceId& holder = m_shares[m_pending->share].holder;
     if (request.lockTtl > base::Duration::zero())
-        m_output.push_back({ holder, GatherUnlock { request.share, request.epoch, m_order.request } });
+        m_output.push_back({ holder, GatherUnlock { request.share, request.epoch, m_charge.request } });
     m_pending.reset();
 }
 
-void ChargeCoordinator::giveBackParts()
+void ChargeCoordinator::refundParts()
 {
     for (const auto& part : m_parts) {
         m_output.push_back({ part.holder, ChargeReturn { part.charge, part.share, part.epoch, part.amount } });
@@ -298,16 +299,16 @@
     m_parts.clear();
 }
 
-void ChargeCoordinator::endTurn()
+void ChargeCoordinator::releaseGatherLock()
 {
-    if (!m_turnAt)
+    if (!m_lockedShare)
         return;
-    const ShareView& view = m_shares[*m_turnAt];
-    m_output.push_back({ view.holder, GatherUnlock { view.hint.share, view.hint.epoch, m_order.request } });
-    m_turnAt.reset();
+    const ShareView& view = m_shares[*m_lockedShare];
+    m_output.push_back({ view.holder, GatherUnlock { view.hint.share, view.hint.epoch, m_charge.request } });
+    m_lockedShare.reset();
 }
 
-void ChargeCoordinator::noteHint(size_t share, const ChargeReply& reply, base::Instant now)
+void ChargeCoordinator::updateView(size_t share, const ChargeReply& reply, base::Instant now)
 {
     ShareView& view = m_shares[share];
     if (reply.result == ChargeResult::NotHolder) {
@@ -322,50 +323,50 @@
 {
     const ChargeRequest& request = answered.request;
     if (request.lockTtl > base::Duration::zero())
-        m_turnAt = answered.share;
+        m_lockedShare = answered.share;
     if (m_parts.empty())
         m_oldestPartSentAt = answered.sentAt;
     m_parts.push_back({ m_shares[answered.share].holder, request.charge, request.share, request.epoch, reply.granted });
     if (now - m_oldestPartSentAt > m_options.gatherWindow) {
         restart(now);
-    } else if (gathered() < m_order.cost) {
+    } else if (gathered() < m_charge.cost) {
         proceed(now);
     } else {
-        endTurn();
+        releaseGatherLock();
         m_outcome = ChargeAdmitted { m_parts };
     }
 }
 
 void ChargeCoordinator::onBusy(const ChargeReply& reply, base::Instant now)
 {
-    if (!m_turnWantedAt)
-        m_turnWantedAt = now;
-    m_phase = Phase::WaitingForTurn;
+    if (!m_lockRequestedAt)
+        m_lockRequestedAt = now;
+    m_phase = Phase::WaitingForLock;
     m_nextInPass = 0;
-    // Waiting for the turn is bounded by its own time, so it does not count against the charges.
+    // Waiting for the lock has its own time limit, so it doesn't count towards the limit on charges.
     --m_chargesSent;
     m_resumeAt = now + std::max(reply.retryAfter, base::Duration(1));
 }
 
-std::optional<size_t> ChargeCoordinator::fullestUnasked(base::Instant now) const
+std::optional<size_t> ChargeCoordinator::fullestUntriedShare(base::Instant now) const
 {
     std::optional<size_t> best;
     std::optional<size_t> own;
     for (size_t index = 0; index < m_shares.size(); ++index) {
         const ShareView& share = m_shares[index];
-        if (!share.reachable || m_askedWhole[index])
+        if (!share.reachable || m_triedFullCost[index])
             continue;
-        if (share.holder == m_options.self && wholeExpected(share, now) >= m_order.cost)
+        if (share.holder == m_options.self && expectedTokens(share, now) >= m_charge.cost)
             own = index;
         if (!best || share.expectedBalance(now) > m_shares[*best].expectedBalance(now))
             best = index;
     }
-    if (own && fullness(m_shares[*own], now) >= fullness(m_shares[*best], now) - m_options.ownShareMargin)
+    if (own && fillPerMille(m_shares[*own], now) >= fillPerMille(m_shares[*best], now) - m_options.ownShareMargin)
         return own;
     return best;
 }
 
-std::optional<size_t> ChargeCoordinator::nextReachable(size_t from) const
+std::optional<size_t> ChargeCoordinator::nextReachableShare(size_t from) const
 {
     for (size_t index = from; index < m_shares.size(); ++index) {
         if (m_shares[index].reachable)
@@ -382,19 +383,19 @@
     return sum;
 }
 
-base::Tokens ChargeCoordinator::levelAfterGather(base::Instant now) const
+base::Tokens ChargeCoordinator::gatherFloor(base::Instant now) const
 {
-    auto yieldsCost = [&](int64_t level) {
+    auto coversCost = [&](int64_t floor) {
         base::Tokens sum;
         for (const auto& share : m_shares)
-            sum += std::max(base::Tokens(0), wholeExpected(share, now) - base::Tokens(level));
-        return sum >= m_order.cost;
+            sum += std::max(base::Tokens(0), expectedTokens(share, now) - base::Tokens(floor));
+        return sum >= m_charge.cost;
     };
     int64_t low = 0;
     int64_t high = maximumBurst;
     while (low < high) {
         int64_t middle = (low + high + 1) / 2;
-        if (yieldsCost(middle))
+        if (coversCost(middle))
             low = middle;
         else
             high = middle - 1;
@@ -406,7 +407,7 @@
 {
     base::Tokens sum;
     for (const auto& share : m_shares)
-        sum += wholeExpected(share, now);
+        sum += expectedTokens(share, now);
     return sum;
 }
 
@@ -419,13 +420,13 @@
         TokenBucket bucket(share.hint.limits, share.expectedBalance(now), now);
         late = std::max(late, bucket.availableAt(bucket.limits().burst, now).value_or(now));
     }
-    if (expectedTotal(late) < m_order.cost)
+    if (expectedTotal(late) < m_charge.cost)
         return std::nullopt;
-    // The total never falls over time, so the first instant is found by halving.
+    // The total never decreases over time, so the earliest time is found by binary search.
     base::Instant early = now;
     while (early < late) {
         base::Instant middle = early + (late - early) / 2;
-        if (expectedTotal(middle) >= m_order.cost)
+        if (expectedTotal(middle) >= m_charge.cost)
             late = middle;
         else
             early = middle + base::Duration(1);
--- a/packages/limits/src/LeasePolicy.cpp
+++ b/packages/limits/src/LeasePolicy.cpp
@@ -10,34 +10,34 @@
 {
 }
 
-void LeasePolicy::setLimits(const base::ClientAccountId& account, BucketLimits whole, base::Instant)
+void LeasePolicy::setLimits(const base::ClientAccountId& account, BucketLimits total, base::Instant)
 {
-    m_leased[account].whole = whole;
+    m_leased[account].total = total;
 }
 
-PolicyDecision LeasePolicy::admit(const AccountCharge& order, base::Instant now)
+PolicyDecision LeasePolicy::admit(const AccountCharge& charge, base::Instant now)
 {
-    auto found = m_leased.find(order.account);
+    auto found = m_leased.find(charge.account);
     if (found == m_leased.end())
         return {};
     Leased& leased = found->second;
-    if (order.cost > leased.whole.burst)
+    if (charge.cost > leased.total.burst)
         return { .code = base::RefusalCode::CostAboveBurst };
     if (now >= leased.expiresAt)
         leased.amount = base::Tokens(0);
-    if (leased.amount < order.cost) {
-        base::Tokens block(leased.whole.burst.value() / m_blocksPerBurst);
-        base::Tokens wanted = std::max(block, order.cost - leased.amount);
-        if (auto grant = m_authority.acquire(order.account, wanted, now)) {
-            // What is left of the older block keeps its own, earlier end.
+    if (leased.amount < charge.cost) {
+        base::Tokens block(leased.total.burst.value() / m_blocksPerBurst);
+        base::Tokens wanted = std::max(block, charge.cost - leased.amount);
+        if (auto grant = m_authority.acquire(charge.account, wanted, now)) {
+            // Leftover tokens must not outlive their own lease, so the combined amount takes the earlier expiry.
             leased.expiresAt = leased.amount > base::Tokens(0) ? std::min(leased.expiresAt, grant->expiresAt) : grant->expiresAt;
             leased.amount += grant->amount;
         }
     }
-    if (leased.amount < order.cost)
-        return { .retryAt = m_authority.availableAt(order.account, order.cost - leased.amount, now) };
-    leased.amount -= order.cost;
-    m_admitted[order.request] = order.account;
+    if (leased.amount < charge.cost)
+        return { .retryAt = m_authority.availableAt(charge.account, charge.cost - leased.amount, now) };
+    leased.amount -= charge.cost;
+    m_admitted[charge.request] = charge.account;
     return { .admitted = true };
 }
 
--- a/packages/limits/src/ShareHolder.cpp
+++ b/packages/limits/src/ShareHolder.cpp
@@ -6,134 +6,135 @@
 
 namespace {
 
-// No planner makes an empty charge id.
-ChargeId beginningOfHolding() { return ChargeId(); }
+// Uses the empty charge id, which ChargeCoordinator never generates.
+ChargeId takeoverMarker() { return ChargeId(); }
 
 } // namespace
 
-ShareHolder::ShareHolder(BucketLimits limits, base::Instant now, size_t memory)
+ShareHolder::ShareHolder(BucketLimits limits, base::Instant now, size_t maximumEntries)
     : m_bucket(limits, NanoTokens(0), now)
-    , m_memory(std::max<size_t>(memory, 1))
+    , m_maximumEntries(std::max<size_t>(maximumEntries, 1))
 {
-    // Stands for the beginning, so that the room since then is known when the previous holder's balance arrives.
-    remember(beginningOfHolding(), base::Tokens(0), false);
+    // Marks the takeover, so that the headroom since then is known when the previous holder's balance arrives.
+    addEntry(takeoverMarker(), base::Tokens(0), false);
 }
 
-// Between two charges the balance only rises, so the room is least right before the next charge, refund or change of
-// limits; it is noted at each of these.
-void ShareHolder::noteRoom(base::Instant now)
+// Between two changes of the bucket the balance only rises, so the headroom is smallest just before the next charge,
+// refund or change of limits. It is recorded at each of these.
+void ShareHolder::recordHeadroom(base::Instant now)
 {
     if (m_entries.empty())
         return;
-    NanoTokens room = toNanoTokens(m_bucket.limits().burst) - m_bucket.balanceAt(now);
-    m_entries.back().leastRoom = std::min(m_entries.back().leastRoom, room);
+    NanoTokens headroom = toNanoTokens(m_bucket.limits().burst) - m_bucket.balanceAt(now);
+    m_entries.back().minimumHeadroom = std::min(m_entries.back().minimumHeadroom, headroom);
 }
 
-void ShareHolder::remember(const ChargeId& id, base::Tokens taken, bool settled)
+void ShareHolder::addEntry(const ChargeId& id, base::Tokens taken, bool settled)
 {
-    m_positions[id] = m_forgotten + m_entries.size();
+    m_positions[id] = m_evictedCount + m_entries.size();
     m_entries.push_back({ id, taken, toNanoTokens(m_bucket.limits().burst), settled });
-    if (m_entries.size() <= m_memory)
+    if (m_entries.size() <= m_maximumEntries)
         return;
     m_positions.erase(m_entries.front().id);
     m_entries.pop_front();
-    ++m_forgotten;
+    ++m_evictedCount;
 }
 
 base::Tokens ShareHolder::charge(const ChargeId& id, base::Tokens minimum, base::Tokens wanted, base::Instant now)
 {
     auto known = m_positions.find(id);
     if (known != m_positions.end())
-        return m_entries[known->second - m_forgotten].taken;
+        return m_entries[known->second - m_evictedCount].taken;
     base::Tokens amount = std::min(wanted, wholeTokens(m_bucket.balanceAt(now)));
     if (amount < minimum || amount <= base::Tokens(0))
         return base::Tokens(0);
-    noteRoom(now);
+    recordHeadroom(now);
     m_bucket.take(amount, now);
-    remember(id, amount, false);
+    addEntry(id, amount, false);
     return amount;
 }
 
-NanoTokens ShareHolder::leastRoomSince(size_t position) const
+NanoTokens ShareHolder::minimumHeadroomSince(size_t position) const
 {
-    NanoTokens least = m_entries[position].leastRoom;
+    NanoTokens least = m_entries[position].minimumHeadroom;
     for (size_t index = position + 1; index < m_entries.size(); ++index)
-        least = std::min(least, m_entries[index].leastRoom);
+        least = std::min(least, m_entries[index].minimumHeadroom);
     return least;
 }
 
 NanoTokens ShareHolder::refund(const ChargeId& id, base::Tokens unused, base::Instant now)
 {
-    noteRoom(now);
+    recordHeadroom(now);
     auto known = m_positions.find(id);
     if (known == m_positions.end()) {
-        // The return overtook its charge: nothing may be taken under this id any more.
-        remember(id, base::Tokens(0), true);
+        // The return overtook its charge: nothing may be taken under this id anymore.
+        addEntry(id, base::Tokens(0), true);
         return NanoTokens(0);
     }
-    size_t position = known->second - m_forgotten;
+    size_t position = known->second - m_evictedCount;
     Entry& entry = m_entries[position];
     if (entry.settled)
         return NanoTokens(0);
     entry.settled = true;
-    return addAsOf(position, toNanoTokens(std::clamp(unused, base::Tokens(0), entry.taken)), now);
+    return addBackdated(position, toNanoTokens(std::clamp(unused, base::Tokens(0), entry.taken)), now);
 }
 
-// Failure guarded against: charge the burst, let the bucket fill up, charge it again, then return the first charge and
-// charge that too: twice the burst in one instant. What the bucket could not have held in between is not added.
-NanoTokens ShareHolder::addAsOf(size_t position, NanoTokens wanted, base::Instant now)
+// Guards against spending the burst twice at one instant: charge the burst, let the bucket refill, charge it again,
+// then return the first charge and charge those tokens too. Only what the bucket could have held all the time since
+// is added.
+NanoTokens ShareHolder::addBackdated(size_t position, NanoTokens wanted, base::Instant now)
 {
-    NanoTokens added = m_bucket.add(std::min(wanted, leastRoomSince(position)), now);
+    NanoTokens added = m_bucket.add(std::min(wanted, minimumHeadroomSince(position)), now);
     for (size_t index = position; index < m_entries.size(); ++index)
-        m_entries[index].leastRoom -= added;
+        m_entries[index].minimumHeadroom -= added;
     return added;
 }
 
 void ShareHolder::setLimits(BucketLimits limits, base::Instant now)
 {
-    noteRoom(now);
+    recordHeadroom(now);
     m_bucket.setLimits(limits, now);
-    noteRoom(now);
+    recordHeadroom(now);
 }
 
 NanoTokens ShareHolder::addHandedOver(NanoTokens balance, base::Instant now)
 {
-    noteRoom(now);
-    auto beginning = m_positions.find(beginningOfHolding());
-    // Too much has happened since the take-over to know what the bucket could have held.
-    if (beginning == m_positions.end())
+    recordHeadroom(now);
+    auto takeover = m_positions.find(takeoverMarker());
+    // The marker has been evicted, so it is unknown how much the bucket could have held since the takeover.
+    if (takeover == m_positions.end())
         return NanoTokens(0);
-    return addAsOf(beginning->second - m_forgotten, balance, now);
+    return addBackdated(takeover->second - m_evictedCount, balance, now);
 }
 
 NanoTokens ShareHolder::drop(base::Instant now)
 {
     m_entries.clear();
     m_positions.clear();
-    m_forgotten = 0;
-    m_turn.reset();
+    m_evictedCount = 0;
+    m_gatherLock.reset();
     return m_bucket.drain(now);
 }
 
-bool ShareHolder::takeTurn(const base::RequestId& gatherer, base::Instant until, base::Instant now)
+bool ShareHolder::acquireGatherLock(const base::RequestId& gatherer, base::Instant expiresAt, base::Instant now)
 {
-    if (m_turn && m_turn->until > now && m_turn->gatherer != gatherer)
+    if (m_gatherLock && m_gatherLock->expiresAt > now && m_gatherLock->gatherer != gatherer)
         return false;
-    m_turn = Turn { gatherer, until };
+    m_gatherLock = GatherLock { gatherer, expiresAt };
     return true;
 }
 
-void ShareHolder::endTurn(const base::RequestId& gatherer)
+void ShareHolder::releaseGatherLock(const base::RequestId& gatherer)
 {
-    if (m_turn && m_turn->gatherer == gatherer)
-        m_turn.reset();
+    if (m_gatherLock && m_gatherLock->gatherer == gatherer)
+        m_gatherLock.reset();
 }
 
-std::optional<base::Instant> ShareHolder::turnEndsAt(base::Instant now) const
+std::optional<base::Instant> ShareHolder::gatherLockExpiresAt(base::Instant now) const
 {
-    if (!m_turn || m_turn->until <= now)
+    if (!m_gatherLock || m_gatherLock->expiresAt <= now)
         return std::nullopt;
-    return m_turn->until;
+    return m_gatherLock->expiresAt;
 }
 
 } // namespace toucanstep::limits
--- a/packages/limits/src/SharePolicy.cpp
+++ b/packages/limits/src/SharePolicy.cpp
@@ -6,21 +6,21 @@
 
 namespace {
 
-// Carries the planner's messages out one by one until it has an outcome; a charge without a reply is moved on by its
-// own timeout.
-class PlannerDriver {
+// Sends the coordinator's messages one by one until it has an outcome. If a charge gets no reply, advances the time
+// to the coordinator's next timeout.
+class CoordinatorDriver {
 public:
-    PlannerDriver(ChargeCoordinator& planner, ChargeTransport& exchange, base::Instant now)
-        : m_planner(planner)
-        , m_exchange(exchange)
+    CoordinatorDriver(ChargeCoordinator& coordinator, ChargeTransport& transport, base::Instant now)
+        : m_coordinator(coordinator)
+        , m_transport(transport)
         , m_now(now)
     {
     }
 
     void run()
     {
-        queue(m_planner.start(m_now));
-        while (!m_queue.empty() || !m_planner.outcome())
+        queue(m_coordinator.start(m_now));
+        while (!m_queue.empty() || !m_coordinator.outcome())
             step();
     }
 
@@ -34,42 +34,42 @@
     void step()
     {
         if (m_queue.empty()) {
-            m_now = std::max(m_now, *m_planner.nextWakeUp());
-            queue(m_planner.onTick(m_now));
+            m_now = std::max(m_now, *m_coordinator.nextWakeUp());
+            queue(m_coordinator.onTick(m_now));
             return;
         }
         AddressedMessage next = std::move(m_queue.front());
         m_queue.pop_front();
         const auto* request = std::get_if<ChargeRequest>(&next.message);
         if (!request) {
-            m_exchange.send(next.to, next.message);
+            m_transport.send(next.to, next.message);
             return;
         }
-        if (std::optional<ChargeReply> reply = m_exchange.charge(next.to, *request))
-            queue(m_planner.onReply(*reply, m_now));
+        if (std::optional<ChargeReply> reply = m_transport.charge(next.to, *request))
+            queue(m_coordinator.onReply(*reply, m_now));
     }
 
-    ChargeCoordinator& m_planner;
-    ChargeTransport& m_exchange;
+    ChargeCoordinator& m_coordinator;
+    ChargeTransport& m_transport;
     base::Instant m_now;
     std::deque<AddressedMessage> m_queue;
 };
 
 } // namespace
 
-SharePolicy::SharePolicy(ChargeOptions options, ChargeTransport& exchange)
+SharePolicy::SharePolicy(ChargeOptions options, ChargeTransport& transport)
     : m_options(std::move(options))
-    , m_exchange(exchange)
+    , m_transport(transport)
 {
 }
 
-PolicyDecision SharePolicy::admit(const AccountCharge& order, base::Instant now)
+PolicyDecision SharePolicy::admit(const AccountCharge& charge, base::Instant now)
 {
-    ChargeCoordinator planner(m_options, order, m_exchange.shares(order.account, now));
-    PlannerDriver(planner, m_exchange, now).run();
-    if (const auto* refused = std::get_if<ChargeRefused>(&*planner.outcome()))
+    ChargeCoordinator coordinator(m_options, charge, m_transport.shares(charge.account, now));
+    CoordinatorDriver(coordinator, m_transport, now).run();
+    if (const auto* refused = std::get_if<ChargeRefused>(&*coordinator.outcome()))
         return { false, refused->code, refused->retryAt };
-    m_admitted[order.request] = std::get<ChargeAdmitted>(*planner.outcome()).parts;
+    m_admitted[charge.request] = std::get<ChargeAdmitted>(*coordinator.outcome()).parts;
     return { .admitted = true };
 }
 
@@ -79,7 +79,7 @@
     if (found == m_admitted.end())
         return;
     for (const auto& message : returnUnused(found->second, unused))
-        m_exchange.send(message.to, message.message);
+        m_transport.send(message.to, message.message);
     m_admitted.erase(found);
 }
 
--- a/packages/limits/src/ShareTable.cpp
+++ b/packages/limits/src/ShareTable.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-// How long a request waits before it asks again for a turn that another has. The turn usually ends after two round trips.
-constexpr base::Duration turnRetryInterval = std::chrono::milliseconds(2);
+// Retry interval while another request holds the gather lock. The lock is usually released after two round trips.
+constexpr base::Duration lockRetryInterval = std::chrono::milliseconds(2);
 
 } // namespace
 
@@ -48,19 +48,19 @@
     Held* held = find(handover.share, handover.epoch + base::Epoch(1));
     if (!held || held->handoverAccepted)
         return false;
-    // A second copy of the message must not add the balance again.
+    // A duplicate of the message must not add the balance again.
     held->handoverAccepted = true;
     held->holder.addHandedOver(handover.balance, now);
     return true;
 }
 
-void ShareTable::setLimits(const base::ClientAccountId& account, BucketLimits whole, int shareCount, base::Instant now)
+void ShareTable::setLimits(const base::ClientAccountId& account, BucketLimits total, int shareCount, base::Instant now)
 {
-    std::vector<BucketLimits> slices = splitLimits(whole, shareCount);
+    std::vector<BucketLimits> slices = splitLimits(total, shareCount);
     for (auto& [share, held] : m_shares) {
         if (share.account != account)
             continue;
-        // A share that the account no longer has gets no tokens until its row is released.
+        // A share that no longer exists gets zero limits until its row is released.
         bool exists = share.index < static_cast<int>(slices.size());
         held.holder.setLimits(exists ? slices[share.index] : BucketLimits {}, now);
     }
@@ -73,9 +73,9 @@
     if (!held)
         return reply;
     ShareHolder& holder = held->holder;
-    if (request.lockTtl > base::Duration::zero() && !holder.takeTurn(request.gatherer, now + request.lockTtl, now)) {
+    if (request.lockTtl > base::Duration::zero() && !holder.acquireGatherLock(request.gatherer, now + request.lockTtl, now)) {
         reply.result = ChargeResult::Busy;
-        reply.retryAfter = std::min(base::remaining(now, *holder.turnEndsAt(now)), turnRetryInterval);
+        reply.retryAfter = std::min(base::remaining(now, *holder.gatherLockExpiresAt(now)), lockRetryInterval);
     } else {
         reply.granted = holder.charge(request.charge, request.minimum, request.wanted, now);
         reply.result = reply.granted > base::Tokens(0) ? ChargeResult::Granted : ChargeResult::Insufficient;
@@ -94,7 +94,7 @@
 void ShareTable::onGatherUnlock(const GatherUnlock& message)
 {
     if (Held* held = find(message.share, message.epoch))
-        held->holder.endTurn(message.gatherer);
+        held->holder.releaseGatherLock(message.gatherer);
 }
 
 bool ShareTable::holds(const ShareId& share) const
--- a/packages/limits/src/StaticPolicy.cpp
+++ b/packages/limits/src/StaticPolicy.cpp
@@ -8,27 +8,27 @@
 {
 }
 
-void StaticPolicy::setLimits(const base::ClientAccountId& account, BucketLimits whole, base::Instant now)
+void StaticPolicy::setLimits(const base::ClientAccountId& account, BucketLimits total, base::Instant now)
 {
-    BucketLimits slice = splitLimits(whole, m_gatewayCount)[m_gatewayIndex];
+    BucketLimits slice = splitLimits(total, m_gatewayCount)[m_gatewayIndex];
     auto [bucket, isNew] = m_buckets.try_emplace(account, slice, now);
     if (!isNew)
         bucket->second.setLimits(slice, now);
 }
 
-PolicyDecision StaticPolicy::admit(const AccountCharge& order, base::Instant now)
+PolicyDecision StaticPolicy::admit(const AccountCharge& charge, base::Instant now)
 {
-    auto found = m_buckets.find(order.account);
+    auto found = m_buckets.find(charge.account);
     if (found == m_buckets.end())
         return {};
     ShareHolder& bucket = found->second;
-    if (order.cost > bucket.bucket().limits().burst)
+    if (charge.cost > bucket.bucket().limits().burst)
         return { .code = base::RefusalCode::CostAboveBurst };
-    ChargeId charge(order.request.value());
-    bool charged = order.cost <= base::Tokens(0) || bucket.charge(charge, order.cost, order.cost, now) == order.cost;
+    ChargeId chargeId(charge.request.value());
+    bool charged = charge.cost <= base::Tokens(0) || bucket.charge(chargeId, charge.cost, charge.cost, now) == charge.cost;
     if (!charged)
-        return { .retryAt = bucket.bucket().availableAt(order.cost, now) };
-    m_admitted[order.request] = order.account;
+        return { .retryAt = bucket.bucket().availableAt(charge.cost, now) };
+    m_admitted[charge.request] = charge.account;
     return { .admitted = true };
 }
 
--- a/packages/limits/src/TokenBucket.cpp
+++ b/packages/limits/src/TokenBucket.cpp
@@ -17,7 +17,7 @@
 
 TokenBucket::TokenBucket(BucketLimits limits, NanoTokens balance, base::Instant now)
     : m_limits(withinBounds(limits))
-    , m_stock(std::clamp(balance, NanoTokens(0), toNanoTokens(m_limits.burst)))
+    , m_balance(std::clamp(balance, NanoTokens(0), toNanoTokens(m_limits.burst)))
     , m_updatedAt(now)
 {
 }
@@ -26,18 +26,18 @@
 {
     int64_t rate = m_limits.tokensPerSecond.value();
     if (now <= m_updatedAt || !rate)
-        return m_stock;
-    int64_t room = toNanoTokens(m_limits.burst).value() - m_stock.value();
+        return m_balance;
+    int64_t headroom = toNanoTokens(m_limits.burst).value() - m_balance.value();
     int64_t elapsed = (now - m_updatedAt).count();
-    // Compared by division, because elapsed times rate may not fit into 64 bits.
-    if (elapsed > room / rate)
+    // Compare by division, because elapsed * rate may overflow 64 bits.
+    if (elapsed > headroom / rate)
         return toNanoTokens(m_limits.burst);
-    return m_stock + NanoTokens(elapsed * rate);
+    return m_balance + NanoTokens(elapsed * rate);
 }
 
 void TokenBucket::advance(base::Instant now)
 {
-    m_stock = balanceAt(now);
+    m_balance = balanceAt(now);
     m_updatedAt = std::max(m_updatedAt, now);
 }
 
@@ -46,26 +46,26 @@
     if (amount < base::Tokens(0) || amount > m_limits.burst)
         return false;
     advance(now);
-    if (m_stock < toNanoTokens(amount))
+    if (m_balance < toNanoTokens(amount))
         return false;
-    m_stock -= toNanoTokens(amount);
+    m_balance -= toNanoTokens(amount);
     return true;
 }
 
 NanoTokens TokenBucket::add(NanoTokens amount, base::Instant now)
 {
     advance(now);
-    NanoTokens room = toNanoTokens(m_limits.burst) - m_stock;
-    NanoTokens added = std::clamp(amount, NanoTokens(0), room);
-    m_stock += added;
+    NanoTokens headroom = toNanoTokens(m_limits.burst) - m_balance;
+    NanoTokens added = std::clamp(amount, NanoTokens(0), headroom);
+    m_balance += added;
     return added;
 }
 
 NanoTokens TokenBucket::drain(base::Instant now)
 {
     advance(now);
-    NanoTokens drained = m_stock;
-    m_stock = NanoTokens(0);
+    NanoTokens drained = m_balance;
+    m_balance = NanoTokens(0);
     return drained;
 }
 
@@ -73,7 +73,7 @@
 {
     advance(now);
     m_limits = withinBounds(limits);
-    m_stock = std::min(m_stock, toNanoTokens(m_limits.burst));
+    m_balance = std::min(m_balance, toNanoTokens(m_limits.burst));
 }
 
 std::optional<base::Instant> TokenBucket::availableAt(base::Tokens amount, base::Instant now) const
--- a/packages/limits/test/LimitsFleet.h
+++ b/packages/limits/test/LimitsFleet.h
@@ -1,5 +1,5 @@
-// Three gateways with share tables, planners and a network that a test orders about: messages wait until they are
-// delivered, lost, copied or overtaken, and time moves only when the test says so.
+// Simulates three gateways with share tables, charge coordinators and a network controlled by the test: messages stay
+// queued until they are delivered, dropped, duplicated or reordered, and time advances only on request.
 
 #pragma once
 
@@ -13,12 +13,12 @@
 
 namespace toucanstep::limits {
 
-// Deliberate bugs, to show that the oracle sees them.
+// Deliberate bugs that the oracle must detect.
 enum class FleetFault {
     None,
-    TakeOverStartsFull,
-    GiverKeepsItsStock,
-    LateAnswersAreUsed,
+    TakeoverStartsFull,
+    SourceKeepsItsBalance,
+    LateRepliesAreUsed,
 };
 
 class LimitsFleet {
@@ -29,11 +29,11 @@
         : m_limits(limits)
         , m_fault(fault)
     {
-        m_byCharge.limitsFrom(m_now, limits);
-        m_byAdmission.limitsFrom(m_now, limits);
+        m_byCharge.addLimits(m_now, limits);
+        m_byAdmission.addLimits(m_now, limits);
         for (int index = 0; index < gatewayCount; ++index)
-            takeOver(index, index);
-        spreadHints();
+            takeOverShare(index, index);
+        broadcastHints();
     }
 
     base::Instant now() const { return m_now; }
@@ -48,27 +48,27 @@
         base::Instant end = m_now + step;
         while (true) {
             base::Instant next = end;
-            for (auto& [request, running] : m_planners) {
-                if (auto wakeUp = running.planner->nextWakeUp())
+            for (auto& [request, running] : m_coordinators) {
+                if (auto wakeUp = running.coordinator->nextWakeUp())
                     next = std::min(next, std::max(*wakeUp, m_now));
             }
             m_now = next;
-            bool stepped = tickPlanners();
+            bool stepped = tickCoordinators();
             if (next == end && !stepped)
                 return;
         }
     }
 
-    int offer(int gateway, int64_t cost, base::Duration timeout = std::chrono::seconds(2), ChargeOptions options = {})
+    int submit(int gateway, int64_t cost, base::Duration timeout = std::chrono::seconds(2), ChargeOptions options = {})
     {
         int request = m_nextRequest++;
         if (!m_gateways[gateway].up)
             return request;
         options.self = gatewayId(gateway);
-        AccountCharge order { base::RequestId(base::concat("r", request)), account(), base::Tokens(cost), m_now + timeout };
-        Running running { gateway, std::make_unique<ChargeCoordinator>(options, order, views(gateway)) };
-        auto messages = running.planner->start(m_now);
-        m_planners.emplace(request, std::move(running));
+        AccountCharge charge { base::RequestId(base::concat("r", request)), account(), base::Tokens(cost), m_now + timeout };
+        Running running { gateway, std::make_unique<ChargeCoordinator>(options, charge, views(gateway)) };
+        auto messages = running.coordinator->start(m_now);
+        m_coordinators.emplace(request, std::move(running));
         enqueue(request, gateway, std::move(messages));
         collect(request);
         return request;
@@ -90,93 +90,93 @@
             deliver(0);
     }
 
-    void lose(size_t position) { m_network.erase(m_network.begin() + position); }
+    void drop(size_t position) { m_network.erase(m_network.begin() + position); }
     void duplicate(size_t position) { m_network.push_back(Packet(m_network[position])); }
 
-    // The answer of an admitted request has ended, and used only a part of what was charged.
+    // The response of an admitted request has ended and used only part of what was charged.
     void settle(size_t position, int64_t usedPerMille)
     {
-        auto entry = m_open.begin();
-        std::advance(entry, position % m_open.size());
-        Open open = std::move(entry->second);
-        m_open.erase(entry);
+        auto entry = m_inFlight.begin();
+        std::advance(entry, position % m_inFlight.size());
+        InFlight inFlight = std::move(entry->second);
+        m_inFlight.erase(entry);
         int64_t cost = 0;
-        for (auto& part : open.parts)
+        for (auto& part : inFlight.parts)
             cost += part.amount.value();
         int64_t unused = cost - cost * usedPerMille / 1000;
-        recordUse(open, unused);
-        enqueue(-1, open.gateway, returnUnused(open.parts, base::Tokens(unused)));
+        recordUse(inFlight, unused);
+        enqueue(-1, inFlight.gateway, returnUnused(inFlight.parts, base::Tokens(unused)));
     }
-    size_t openCount() const { return m_open.size(); }
+    size_t inFlightCount() const { return m_inFlight.size(); }
 
-    void settleRestInFull()
+    void settleRemainingInFull()
     {
-        while (!m_open.empty())
+        while (!m_inFlight.empty())
             settle(0, 1000);
     }
 
-    // The process dies, with all that it held in memory. What it had admitted may run on and is never settled.
+    // The process dies and loses its memory. Requests that it had admitted may keep running and are never settled.
     void crash(int gateway)
     {
         m_gateways[gateway].up = false;
         m_gateways[gateway].table = ShareTable();
-        std::erase_if(m_planners, [&](const auto& item) { return item.second.gateway == gateway; });
-        for (auto item = m_open.begin(); item != m_open.end();) {
+        std::erase_if(m_coordinators, [&](const auto& item) { return item.second.gateway == gateway; });
+        for (auto item = m_inFlight.begin(); item != m_inFlight.end();) {
             if (item->second.gateway == gateway) {
                 recordUse(item->second, 0);
-                item = m_open.erase(item);
+                item = m_inFlight.erase(item);
             } else {
                 ++item;
             }
         }
     }
 
-    // The process starts again on its instance and takes its own rows again.
+    // The process restarts on its instance and takes its own rows again in a new epoch.
     void restart(int gateway)
     {
         m_gateways[gateway].up = true;
         for (int share = 0; share < gatewayCount; ++share) {
             if (m_rows[share].gateway == gateway)
-                takeOver(share, gateway);
+                takeOverShare(share, gateway);
         }
     }
 
-    // The platform has dropped the instance: others take its rows.
+    // The platform has removed the instance: another gateway takes over its rows.
     void replace(int gateway)
     {
         crash(gateway);
         for (int share = 0; share < gatewayCount; ++share) {
             if (m_rows[share].gateway == gateway)
-                takeOver(share, (gateway + 1) % gatewayCount);
+                takeOverShare(share, (gateway + 1) % gatewayCount);
         }
         m_gateways[gateway].up = true;
     }
 
-    void handOver(int share, int taker)
+    void handOver(int share, int target)
     {
-        int giver = m_rows[share].gateway;
-        if (giver == taker || !m_gateways[taker].up)
+        int source = m_rows[share].gateway;
+        if (source == target || !m_gateways[target].up)
             return;
-        ShareTable before = m_gateways[giver].table;
-        std::optional<Handover> handover = m_gateways[giver].table.release(shareId(share), m_now);
-        takeOver(share, taker, false);
-        if (m_fault == FleetFault::GiverKeepsItsStock)
-            m_gateways[giver].table = before;
+        ShareTable before = m_gateways[source].table;
+        std::optional<Handover> handover = m_gateways[source].table.release(shareId(share), m_now);
+        takeOverShare(share, target, false);
+        if (m_fault == FleetFault::SourceKeepsItsBalance)
+            m_gateways[source].table = before;
         if (handover)
-            m_network.push_back({ .to = taker, .handover = handover });
+            m_network.push_back({ .to = target, .handover = handover });
     }
 
     void setLimits(BucketLimits limits)
     {
         m_limits = limits;
-        m_byCharge.limitsFrom(m_now, limits);
-        m_byAdmission.limitsFrom(m_now, limits);
+        m_byCharge.addLimits(m_now, limits);
+        m_byAdmission.addLimits(m_now, limits);
         for (auto& gateway : m_gateways)
             gateway.table.setLimits(account(), limits, gatewayCount, m_now);
     }
 
-    // Tells every gateway the present rows and stocks, as hints on other messages would.
-    void spreadHints()
+    // Gives every gateway the current rows and balances, as hints on other messages would.
+    void broadcastHints()
     {
         for (auto& holder : m_gateways) {
             for (auto& hint : holder.table.hints(m_now)) {
@@ -189,7 +189,7 @@
     }
 
 private:
-    struct HintSeen {
+    struct ObservedHint {
         ShareHint hint;
         base::Instant at;
     };
@@ -200,13 +200,13 @@
     struct Gateway {
         bool up = true;
         ShareTable table;
-        std::map<int, HintSeen> hints;
-        // The rows as this gateway last read them.
+        std::map<int, ObservedHint> hints;
+        // The rows as last read by this gateway.
         Row rows[gatewayCount];
     };
     struct Running {
         int gateway = 0;
-        std::unique_ptr<ChargeCoordinator> planner;
+        std::unique_ptr<ChargeCoordinator> coordinator;
     };
     struct Packet {
         int from = 0;
@@ -216,7 +216,7 @@
         std::optional<ChargeReply> reply;
         std::optional<Handover> handover;
     };
-    struct Open {
+    struct InFlight {
         int gateway = 0;
         base::Instant admittedAt;
         std::vector<ChargedPart> parts;
@@ -226,13 +226,13 @@
     static base::InstanceId gatewayId(int gateway) { return base::InstanceId(base::concat(gateway)); }
     static ShareId shareId(int share) { return { account(), share }; }
 
-    void takeOver(int share, int gateway, bool fromEmpty = true)
+    void takeOverShare(int share, int gateway, bool fromEmpty = true)
     {
         m_rows[share] = { gateway, m_rows[share].epoch + base::Epoch(1) };
         m_gateways[gateway].rows[share] = m_rows[share];
         BucketLimits slice = splitLimits(m_limits, gatewayCount)[share];
         m_gateways[gateway].table.take(shareId(share), m_rows[share].epoch, slice, m_now);
-        if (m_fault == FleetFault::TakeOverStartsFull && fromEmpty)
+        if (m_fault == FleetFault::TakeoverStartsFull && fromEmpty)
             m_gateways[gateway].table.acceptHandover({ shareId(share), m_rows[share].epoch - base::Epoch(1), toNanoTokens(slice.burst) }, m_now);
     }
 
@@ -241,7 +241,7 @@
         std::vector<ShareView> views;
         auto slices = splitLimits(m_limits, gatewayCount);
         for (int share = 0; share < gatewayCount; ++share) {
-            HintSeen seen = m_gateways[gateway].hints[share];
+            ObservedHint seen = m_gateways[gateway].hints[share];
             Row row = m_gateways[gateway].rows[share];
             ShareHint hint { shareId(share), row.epoch, seen.hint.balance, slices[share] };
             views.push_back({ gatewayId(row.gateway), hint, seen.at });
@@ -281,36 +281,36 @@
         const ChargeReply& reply = *packet.reply;
         if (reply.result != ChargeResult::NotHolder)
             m_gateways[packet.to].hints[reply.hint.share.index] = { reply.hint, m_now };
-        auto running = m_planners.find(packet.request);
-        if (running == m_planners.end()) {
-            useLateAnswer(packet);
+        auto running = m_coordinators.find(packet.request);
+        if (running == m_coordinators.end()) {
+            useLateReply(packet);
             return;
         }
-        enqueue(packet.request, packet.to, running->second.planner->onReply(reply, m_now));
+        enqueue(packet.request, packet.to, running->second.coordinator->onReply(reply, m_now));
         collect(packet.request);
     }
 
-    // The bug of a gateway that runs a request on an answer that it had given up, and returned, before.
-    void useLateAnswer(const Packet& packet)
+    // Simulates a gateway that admits a request on a reply to a charge that it had already abandoned and returned.
+    void useLateReply(const Packet& packet)
     {
-        if (m_fault != FleetFault::LateAnswersAreUsed || packet.reply->result != ChargeResult::Granted)
+        if (m_fault != FleetFault::LateRepliesAreUsed || packet.reply->result != ChargeResult::Granted)
             return;
         const ChargeReply& reply = *packet.reply;
         ChargedPart part { gatewayId(packet.from), reply.charge, reply.hint.share, reply.hint.epoch, reply.granted };
-        m_open[m_nextOpen++] = { packet.to, m_now, { part } };
+        m_inFlight[m_nextInFlight++] = { packet.to, m_now, { part } };
     }
 
-    bool tickPlanners()
+    bool tickCoordinators()
     {
         bool stepped = false;
         std::vector<int> due;
-        for (auto& [request, running] : m_planners) {
-            if (running.planner->nextWakeUp() && *running.planner->nextWakeUp() <= m_now)
+        for (auto& [request, running] : m_coordinators) {
+            if (running.coordinator->nextWakeUp() && *running.coordinator->nextWakeUp() <= m_now)
                 due.push_back(request);
         }
         for (int request : due) {
-            Running& running = m_planners.at(request);
-            enqueue(request, running.gateway, running.planner->onTick(m_now));
+            Running& running = m_coordinators.at(request);
+            enqueue(request, running.gateway, running.coordinator->onTick(m_now));
             collect(request);
             stepped = true;
         }
@@ -319,28 +319,28 @@
 
     void collect(int request)
     {
-        Running& running = m_planners.at(request);
-        if (!running.planner->outcome())
+        Running& running = m_coordinators.at(request);
+        if (!running.coordinator->outcome())
             return;
-        m_outcomes.emplace(request, *running.planner->outcome());
-        if (const auto* admitted = std::get_if<ChargeAdmitted>(&*running.planner->outcome())) {
-            m_open[m_nextOpen++] = { running.gateway, m_now, admitted->parts };
+        m_outcomes.emplace(request, *running.coordinator->outcome());
+        if (const auto* admitted = std::get_if<ChargeAdmitted>(&*running.coordinator->outcome())) {
+            m_inFlight[m_nextInFlight++] = { running.gateway, m_now, admitted->parts };
             ++m_admittedCount;
         }
-        m_planners.erase(request);
+        m_coordinators.erase(request);
     }
 
-    void recordUse(const Open& open, int64_t unused)
+    void recordUse(const InFlight& inFlight, int64_t unused)
     {
         int64_t total = 0;
-        for (auto part = open.parts.rbegin(); part != open.parts.rend(); ++part) {
+        for (auto part = inFlight.parts.rbegin(); part != inFlight.parts.rend(); ++part) {
             int64_t back = std::min(unused, part->amount.value());
             unused -= back;
             int64_t net = part->amount.value() - back;
             total += net;
-            m_byCharge.used(m_chargedAt.at({ part->charge, part->epoch, part->share.index }), net);
+            m_byCharge.addUse(m_chargedAt.at({ part->charge, part->epoch, part->share.index }), net);
         }
-        m_byAdmission.used(open.admittedAt, total);
+        m_byAdmission.addUse(inFlight.admittedAt, total);
     }
 
     using ChargeKey = std::tuple<ChargeId, base::Epoch, int>;
@@ -350,8 +350,8 @@
     base::Instant m_now { std::chrono::hours(1) };
     Gateway m_gateways[gatewayCount];
     Row m_rows[gatewayCount];
-    std::map<int, Running> m_planners;
-    std::map<int, Open> m_open;
+    std::map<int, Running> m_coordinators;
+    std::map<int, InFlight> m_inFlight;
     std::map<int, ChargeOutcome> m_outcomes;
     std::vector<Packet> m_network;
     std::map<ChargeKey, base::Instant> m_chargedAt;
@@ -359,7 +359,7 @@
     WindowOracle m_byAdmission;
     size_t m_admittedCount = 0;
     int m_nextRequest = 0;
-    int m_nextOpen = 0;
+    int m_nextInFlight = 0;
 };
 
 } // namespace toucanstep::limits
--- a/packages/limits/test/LimitsTest.cpp
+++ b/packages/limits/test/LimitsTest.cpp
@@ -27,7 +27,7 @@
     return found != fleet.outcomes().end() && std::holds_alternative<ChargeAdmitted>(found->second);
 }
 
-// One command of the stateful property: what happens, and three numbers that each command reads in its own way.
+// One command of the stateful property test: its kind, and two numbers whose meaning depends on the kind.
 struct Command {
     int kind;
     int first;
@@ -47,7 +47,7 @@
     case 0:
     case 1:
     case 2:
-        fleet.offer(gateway, 1 + command.second % 100);
+        fleet.submit(gateway, 1 + command.second % 100);
         break;
     case 3:
     case 4:
@@ -59,7 +59,7 @@
         break;
     case 6:
         if (messages)
-            fleet.lose(command.second % messages);
+            fleet.drop(command.second % messages);
         break;
     case 7:
         if (messages)
@@ -67,7 +67,7 @@
         break;
     case 8:
     case 9:
-        if (fleet.openCount())
+        if (fleet.inFlightCount())
             fleet.settle(command.first, command.second % 1001);
         break;
     case 10:
@@ -93,11 +93,11 @@
         break;
     case 17:
     case 18:
-        fleet.spreadHints();
+        fleet.broadcastHints();
         break;
     default:
-        // Most commands are requests that arrive and are answered, so that stocks are used up.
-        fleet.offer(gateway, 1 + command.second % 100);
+        // Most commands are requests that arrive and are answered, so that the balances are used up.
+        fleet.submit(gateway, 1 + command.second % 100);
         fleet.deliverAll();
         break;
     }
@@ -118,11 +118,11 @@
         for (const Command& command : commands)
             runCommand(fleet, command);
         fleet.deliverAll();
-        fleet.settleRestInFull();
-        std::string byCharge = fleet.usesByCharge().firstBreak();
+        fleet.settleRemainingInFull();
+        std::string byCharge = fleet.usesByCharge().firstViolation();
         if (!byCharge.empty())
             RC_FAIL("by charge: " + byCharge);
-        std::string byAdmission = fleet.usesByAdmission().firstBreak(ChargeOptions {}.gatherWindow);
+        std::string byAdmission = fleet.usesByAdmission().firstViolation(ChargeOptions {}.gatherWindow);
         if (!byAdmission.empty())
             RC_FAIL("by admission: " + byAdmission);
     });
@@ -154,14 +154,14 @@
     CHECK_FALSE(bucket.availableAt(Tokens(11), ready).has_value());
 }
 
-TEST(TokenBucket, ALoweredBurstCutsTheStockAtOnce)
+TEST(TokenBucket, LoweredBurstTruncatesTheBalanceAtOnce)
 {
     TokenBucket bucket(limitsOf(10, 100), toNanoTokens(Tokens(100)), start);
     bucket.setLimits(limitsOf(10, 20), start);
     LONGS_EQUAL(20, wholeTokens(bucket.balanceAt(start)).value());
 }
 
-TEST(TokenBucket, SlicesSumToExactlyTheWhole)
+TEST(TokenBucket, SlicesSumToExactlyTheTotal)
 {
     CHECK_PROPERTY([] {
         auto limits = limitsOf(*rc::gen::inRange<int64_t>(0, 10000), *rc::gen::inRange<int64_t>(0, 10000));
@@ -177,10 +177,10 @@
 
 TEST_GROUP(ShareHolder) {};
 
-// An account sends its burst, waits until the bucket is full again and sends the burst a second time. Now the first
-// answer ends early and most of its tokens come back. If they were simply added, a third burst would run in the same
-// instant as the second, and the account would have had twice its burst at once.
-TEST(ShareHolder, TokensThatComeBackLateDoNotAllowASecondBurst)
+// Guards against spending the burst twice at one instant. An account spends its burst, waits until the bucket is full
+// and spends it again; then the first response ends early and returns most of its tokens. If they were simply added,
+// they could be spent at the same instant as the second burst.
+TEST(ShareHolder, LateRefundDoesNotAllowASecondBurst)
 {
     ShareHolder holder(limitsOf(10, 100), start);
     Instant full = start + seconds(10);
@@ -191,7 +191,7 @@
     LONGS_EQUAL(0, holder.charge(ChargeId("c"), Tokens(1), Tokens(90), fullAgain).value());
 }
 
-TEST(ShareHolder, TokensThatComeBackSoonCanBeUsedAgain)
+TEST(ShareHolder, PromptRefundCanBeUsedAgain)
 {
     ShareHolder holder(limitsOf(10, 100), start);
     Instant full = start + seconds(10);
@@ -201,9 +201,10 @@
     LONGS_EQUAL(90, holder.charge(ChargeId("b"), Tokens(1), Tokens(100), full).value());
 }
 
-// A caller's request is charged, the answer is lost and the gateway asks again. Were the second arrival charged too, the
-// account would pay twice; were the return that overtook its charge forgotten, tokens that nobody used would be gone.
-TEST(ShareHolder, EachChargeTakesOnceAlsoAfterItsReturn)
+// Guards against double charges and lost tokens when messages are duplicated or reordered. A resent charge must not
+// be taken twice, and a charge that arrives after its own return must take nothing, since no request would use the
+// tokens.
+TEST(ShareHolder, ChargeIsAppliedOnceEvenAfterItsReturn)
 {
     ShareHolder holder(limitsOf(0, 100), start);
     holder.addHandedOver(toNanoTokens(Tokens(100)), start);
@@ -215,28 +216,28 @@
     LONGS_EQUAL(70, wholeTokens(holder.bucket().balanceAt(start)).value());
 }
 
-// A gateway leaves as planned and hands its share's balance on, but the message is held up for five seconds. By then the
-// share has half filled up at its new holder. If the balance came on top of that, the account could use more than the
-// share's burst in one instant.
-TEST(ShareHolder, AStockThatIsHandedOverLateDoesNotComeOnTop)
+// Guards against exceeding a share's burst after a handover. The message with the previous holder's balance arrives
+// five seconds late, when half of the burst has accrued at the new holder; added on top, more than the burst could be
+// spent at once.
+TEST(ShareHolder, LateHandoverDoesNotAddToAccruedTokens)
 {
-    ShareHolder taker(limitsOf(10, 100), start);
+    ShareHolder target(limitsOf(10, 100), start);
     Instant late = start + seconds(5);
-    LONGS_EQUAL(50, taker.charge(ChargeId("a"), Tokens(50), Tokens(50), late).value());
-    LONGS_EQUAL(50, wholeTokens(taker.addHandedOver(toNanoTokens(Tokens(100)), late)).value());
-    LONGS_EQUAL(50, taker.charge(ChargeId("b"), Tokens(1), Tokens(100), late).value());
+    LONGS_EQUAL(50, target.charge(ChargeId("a"), Tokens(50), Tokens(50), late).value());
+    LONGS_EQUAL(50, wholeTokens(target.addHandedOver(toNanoTokens(Tokens(100)), late)).value());
+    LONGS_EQUAL(50, target.charge(ChargeId("b"), Tokens(1), Tokens(100), late).value());
 }
 
 namespace {
 
-// Charges and refunds one share at random, with refunds as in the library or simply added.
-std::string checkRefunds(bool simplyAdded)
+// Charges and refunds one share at random. With `uncapped`, refunds are simply added to a plain token bucket.
+std::string checkRefunds(bool uncapped)
 {
-    return counterexample({ .seed = 7, .maxSuccess = 1000 }, [simplyAdded] {
+    return counterexample({ .seed = 7, .maxSuccess = 1000 }, [uncapped] {
         ShareHolder holder(limitsOf(20, 50), start, 8);
         TokenBucket naive(limitsOf(20, 50), NanoTokens(0), start);
         WindowOracle oracle;
-        oracle.limitsFrom(start, limitsOf(20, 50));
+        oracle.addLimits(start, limitsOf(20, 50));
         struct Charge {
             ChargeId id;
             Instant at;
@@ -250,7 +251,7 @@
             if (command.kind < 12 || open.empty()) {
                 ChargeId id(concat(next++));
                 Tokens cost(1 + command.second % 50);
-                bool granted = simplyAdded ? naive.take(cost, now) : holder.charge(id, cost, cost, now) == cost;
+                bool granted = uncapped ? naive.take(cost, now) : holder.charge(id, cost, cost, now) == cost;
                 int64_t taken = granted ? cost.value() : 0;
                 if (taken)
                     open.push_back({ id, now, taken });
@@ -259,15 +260,15 @@
             Charge charge = open[command.second % open.size()];
             open.erase(open.begin() + command.second % open.size());
             int64_t unused = charge.taken * command.first / 100;
-            if (simplyAdded)
+            if (uncapped)
                 naive.add(toNanoTokens(Tokens(unused)), now);
             else
                 holder.refund(charge.id, Tokens(unused), now);
-            oracle.used(charge.at, charge.taken - unused);
+            oracle.addUse(charge.at, charge.taken - unused);
         }
         for (const Charge& charge : open)
-            oracle.used(charge.at, charge.taken);
-        std::string found = oracle.firstBreak();
+            oracle.addUse(charge.at, charge.taken);
+        std::string found = oracle.firstViolation();
         if (!found.empty())
             RC_FAIL(found);
     });
@@ -275,41 +276,41 @@
 
 } // namespace
 
-TEST(ShareHolder, NetChargesKeepEveryWindow)
+TEST(ShareHolder, NetChargesStayWithinTheLimitsInEveryWindow)
 {
     STRCMP_EQUAL("", checkRefunds(false).c_str());
 }
 
-TEST(ShareHolder, TheOracleCatchesRefundsThatAreSimplyAdded)
+TEST(ShareHolder, OracleDetectsUncappedRefunds)
 {
     STRCMP_CONTAINS("allowed", checkRefunds(true).c_str());
 }
 
 TEST_GROUP(LimitsFleet) {};
 
-TEST(LimitsFleet, EveryWindowHoldsUnderCrashReplaceLossCopiesReorderAndChanges)
+TEST(LimitsFleet, EveryWindowHoldsUnderFaultsAndLimitChanges)
 {
     STRCMP_EQUAL("", checkWindows(FleetFault::None, thorough).c_str());
 }
 
-TEST(LimitsFleet, TheOracleCatchesATakeOverThatStartsFull)
+TEST(LimitsFleet, OracleDetectsTakeoverThatStartsFull)
 {
-    STRCMP_CONTAINS("allowed", checkWindows(FleetFault::TakeOverStartsFull, thorough).c_str());
+    STRCMP_CONTAINS("allowed", checkWindows(FleetFault::TakeoverStartsFull, thorough).c_str());
 }
 
-TEST(LimitsFleet, TheOracleCatchesAGiverThatKeepsItsStock)
+TEST(LimitsFleet, OracleDetectsSourceThatKeepsItsBalance)
 {
-    STRCMP_CONTAINS("allowed", checkWindows(FleetFault::GiverKeepsItsStock, thorough).c_str());
+    STRCMP_CONTAINS("allowed", checkWindows(FleetFault::SourceKeepsItsBalance, thorough).c_str());
 }
 
-TEST(LimitsFleet, TheOracleCatchesAnswersThatAreUsedAfterTheirReturn)
+TEST(LimitsFleet, OracleDetectsRepliesUsedAfterTheirReturn)
 {
-    STRCMP_CONTAINS("allowed", checkWindows(FleetFault::LateAnswersAreUsed, thorough).c_str());
+    STRCMP_CONTAINS("allowed", checkWindows(FleetFault::LateRepliesAreUsed, thorough).c_str());
 }
 
-// With all holders up and messages arriving, a caller within its account's rate is never refused: whenever the shares
-// together have the tokens, some order of charges finds them, from whichever gateway the request comes.
-TEST(LimitsFleet, NobodyIsRefusedWhileTheSharesHaveTheTokens)
+// While all holders are up and messages arrive, a request is admitted at any gateway whenever the shares together
+// have enough tokens.
+TEST(LimitsFleet, RequestsAreAdmittedWhileTheSharesHaveTheTokens)
 {
     CHECK_PROPERTY_WITH((PropertyOptions { .seed = 11, .maxSuccess = 500 }), [] {
         LimitsFleet fleet(limitsOf(30, 90));
@@ -317,16 +318,17 @@
         TokenBucket exact(limitsOf(30, 90), toNanoTokens(Tokens(90)), fleet.now());
         for (const Command& command : *rc::gen::arbitrary<std::vector<Command>>()) {
             Tokens cost(1 + command.second % 60);
-            int request = fleet.offer(command.first % 3, cost.value());
+            int request = fleet.submit(command.first % 3, cost.value());
             fleet.deliverAll();
             Instant now = fleet.now();
             bool due = exact.take(cost, now);
             RC_ASSERT(admitted(fleet, request) == due);
             if (!due) {
-                // Never earlier than one bucket would have it; the test below shows that it is the first that will do.
+                // Never earlier than a single bucket would have the tokens; the next test checks that it is also the
+                // earliest time that works.
                 RC_ASSERT(refusalOf(fleet, request)->retryAt.value() >= *exact.availableAt(cost, now));
             }
-            // Time passes only while no share can fill up, as a full share loses what it would accrue.
+            // Advance only while no share can fill up, since a full share loses what it would accrue.
             Duration step = milliseconds(100) * (command.second % 5);
             if (exact.balanceAt(now + step) <= toNanoTokens(Tokens(30)))
                 fleet.advance(step);
@@ -334,14 +336,14 @@
     });
 }
 
-TEST(LimitsFleet, ARefusalNamesTheFirstInstantThatWouldDo)
+TEST(LimitsFleet, RetryAtIsTheEarliestSufficientInstant)
 {
     auto retried = [](Duration early) {
         LimitsFleet fleet(limitsOf(31, 90));
         fleet.advance(milliseconds(777));
-        Instant retryAt = *refusalOf(fleet, [&] { int request = fleet.offer(1, 50); fleet.deliverAll(); return request; }())->retryAt;
+        Instant retryAt = *refusalOf(fleet, [&] { int request = fleet.submit(1, 50); fleet.deliverAll(); return request; }())->retryAt;
         fleet.advance(retryAt - early - fleet.now());
-        int again = fleet.offer(1, 50);
+        int again = fleet.submit(1, 50);
         fleet.deliverAll();
         return admitted(fleet, again);
     };
@@ -349,16 +351,16 @@
     CHECK_FALSE(retried(Duration(1)));
 }
 
-// Two callers of one account ask at two gateways at once; together they need less than there is, but each needs parts of
-// all shares. If each took a part that the other needs, both would be refused although either could have run.
-TEST(LimitsFleet, TwoGatheringsAtOnceDoNotBothFail)
+// Two requests of one account gather from all shares at two gateways at once, and the tokens suffice for only one of
+// them. If each took a part that the other needs, both would be refused although one could have run.
+TEST(LimitsFleet, ConcurrentGathersDoNotBothFail)
 {
     CHECK_PROPERTY_WITH((PropertyOptions { .seed = 12, .maxSuccess = 500 }), [] {
         LimitsFleet fleet(limitsOf(3, 90));
         fleet.advance(seconds(30));
-        fleet.spreadHints();
-        int first = fleet.offer(0, 70);
-        int second = fleet.offer(1, 70);
+        fleet.broadcastHints();
+        int first = fleet.submit(0, 70);
+        int second = fleet.submit(1, 70);
         auto order = *rc::gen::container<std::vector<int>>(64, rc::gen::inRange(0, 100));
         for (int position : order) {
             if (fleet.pendingMessages())
@@ -373,70 +375,71 @@
     });
 }
 
-TEST(LimitsFleet, ACostAboveTheWholeBurstIsToldAsSuch)
+TEST(LimitsFleet, CostAboveTheTotalBurstHasItsOwnCode)
 {
     LimitsFleet fleet(limitsOf(30, 90));
-    int request = fleet.offer(0, 91);
+    int request = fleet.submit(0, 91);
     CHECK_TRUE(refusalOf(fleet, request)->code == RefusalCode::CostAboveBurst);
     CHECK_FALSE(refusalOf(fleet, request)->retryAt.has_value());
 }
 
-// A gateway dies while the platform's service is down, so nobody may take its share. Callers of the account get what the
-// other shares hold and are told that one share can't be asked, instead of waiting for it until their deadline.
-TEST(LimitsFleet, AnUnreachableHolderCostsItsShareAndNoMore)
+// A gateway crashes while the platform's service is down, so its share can't be taken over. Requests must still get
+// what the other shares hold; above that they are refused with a count of unreachable shares instead of waiting until
+// their deadline.
+TEST(LimitsFleet, UnreachableHolderDisablesOnlyItsShare)
 {
     LimitsFleet fleet(limitsOf(30, 90));
     fleet.advance(seconds(3));
     fleet.crash(2);
-    auto offerAndWait = [&fleet](int64_t cost) {
-        int request = fleet.offer(0, cost);
+    auto submitAndWait = [&fleet](int64_t cost) {
+        int request = fleet.submit(0, cost);
         for (int round = 0; round < 100; ++round) {
             fleet.deliverAll();
             fleet.advance(milliseconds(1));
         }
         return request;
     };
-    CHECK_TRUE(admitted(fleet, offerAndWait(60)));
-    int above = offerAndWait(10);
+    CHECK_TRUE(admitted(fleet, submitAndWait(60)));
+    int above = submitAndWait(10);
     const ChargeRefused* refusal = refusalOf(fleet, above);
     CHECK_TRUE(refusal != nullptr);
     LONGS_EQUAL(1, refusal->unreachableShares);
     CHECK_TRUE(refusal->retryAt.has_value());
 }
 
-// The answer to a charge is lost on the way back, and so is the answer to its repeat. The caller is still served from
-// the other shares, and the account has paid once too often at most, never too little.
-TEST(LimitsFleet, LostAnswersCountAsSpentAndTheRequestGoesOn)
+// The replies to a charge and to its retransmission are both lost. The request must still be served from the other
+// shares. The account may be charged once too often, but never too little.
+TEST(LimitsFleet, LostRepliesCountAsSpentAndTheRequestContinues)
 {
     LimitsFleet fleet(limitsOf(0, 90));
     fleet.setLimits(limitsOf(90, 90));
     fleet.advance(seconds(1));
     fleet.setLimits(limitsOf(0, 90));
-    int request = fleet.offer(0, 30);
+    int request = fleet.submit(0, 30);
     for (int copy = 0; copy < 2; ++copy) {
         fleet.deliver(0);
-        fleet.lose(0);
+        fleet.drop(0);
         fleet.advance(milliseconds(20));
     }
     fleet.deliverAll();
     CHECK_TRUE(admitted(fleet, request));
 }
 
-// A gateway is paused while the answer to a charge is on its way. When it goes on, the caller has given up; if the answer
-// were used, the request would run for nobody, on tokens of an earlier window.
-TEST(LimitsFleet, AnAnswerAfterTheDeadlineIsNotUsed)
+// A gateway pauses while the reply to a charge is in transit and resumes after the request's deadline. Using the
+// reply would run a request that nobody waits for, on tokens of an earlier window.
+TEST(LimitsFleet, ReplyAfterTheDeadlineIsNotUsed)
 {
     ShareTable holder;
     ShareId share { ClientAccountId("farm"), 0 };
     holder.take(share, Epoch(1), limitsOf(10, 100), start);
     Instant now = start + seconds(10);
     ShareView view { InstanceId("g"), holder.hints(now).at(0), now };
-    ChargeCoordinator planner({}, { RequestId("r"), ClientAccountId("farm"), Tokens(60), now + seconds(1) }, { view });
-    auto asked = planner.start(now);
+    ChargeCoordinator coordinator({}, { RequestId("r"), ClientAccountId("farm"), Tokens(60), now + seconds(1) }, { view });
+    auto asked = coordinator.start(now);
     ChargeReply reply = holder.onCharge(std::get<ChargeRequest>(asked.at(0).message), now);
     LONGS_EQUAL(static_cast<int>(ChargeResult::Granted), static_cast<int>(reply.result));
-    auto given = planner.onReply(reply, now + seconds(2));
-    CHECK_TRUE(std::get<ChargeRefused>(*planner.outcome()).code == RefusalCode::DeadlineExceeded);
+    auto given = coordinator.onReply(reply, now + seconds(2));
+    CHECK_TRUE(std::get<ChargeRefused>(*coordinator.outcome()).code == RefusalCode::DeadlineExceeded);
     holder.onReturn(std::get<ChargeReturn>(given.at(0).message), now + seconds(2));
     LONGS_EQUAL(100, wholeTokens(holder.hints(now + seconds(2)).at(0).balance).value());
 }
--- a/packages/limits/test/WindowOracle.h
+++ b/packages/limits/test/WindowOracle.h
@@ -1,4 +1,5 @@
-// Judges whether what an account used kept its limits in every window. Written without the library's buckets.
+// Test oracle that checks an account's usage against its limits in every window. Does not use the library's token
+// bucket.
 
 #pragma once
 
@@ -13,12 +14,12 @@
 
 class WindowOracle {
 public:
-    // From `at` on no gateway applies more than these limits.
-    void limitsFrom(base::Instant at, BucketLimits limits) { m_limits.push_back({ at, limits }); }
-    void used(base::Instant at, int64_t tokens) { m_uses.push_back({ at, tokens }); }
+    // No gateway applies higher limits than these from `at` until the next call.
+    void addLimits(base::Instant at, BucketLimits limits) { m_limits.push_back({ at, limits }); }
+    void addUse(base::Instant at, int64_t tokens) { m_uses.push_back({ at, tokens }); }
 
-    // Describes a window with more than burst + rate x (window + allowance), or is empty.
-    std::string firstBreak(base::Duration allowance = {}) const
+    // Describes the first window with more than burst + rate x (window + allowance); empty if there is none.
+    std::string firstViolation(base::Duration allowance = {}) const
     {
         auto uses = m_uses;
         std::stable_sort(uses.begin(), uses.end(), [](const Use& left, const Use& right) { return left.at < right.at; });
