--- a/bench/limits_policies.cpp
+++ b/bench/limits_policies.cpp
@@ -101,9 +101,9 @@
         auto slices = splitLimits(limits, gatewayCount);
         for (int share = 0; share < gatewayCount; ++share) {
             m_tables[share].take({ account, share }, Epoch(1), slices[share], start);
-            m_tables[share].acceptHandover({ { account, share }, Epoch(0), toNanos(slices[share].burst) }, start);
+            m_tables[share].acceptHandover({ { account, share }, Epoch(0), toNanoTokens(slices[share].burst) }, start);
             for (auto& hints : m_hints)
-                hints[share] = { InstanceId(std::to_string(share)), { { account, share }, Epoch(1), toNanos(slices[share].burst), slices[share] }, start };
+                hints[share] = { InstanceId(std::to_string(share)), { { account, share }, Epoch(1), toNanoTokens(slices[share].burst), slices[share] }, start };
         }
     }
 
@@ -114,12 +114,12 @@
         m_tables[gateway].take({ account, gateway }, Epoch(m_epoch), splitLimits(limits, gatewayCount)[gateway], m_surroundings.now);
         for (auto& hints : m_hints) {
             hints[gateway].hint.epoch = Epoch(m_epoch);
-            hints[gateway].hint.stock = TokenNanos(0);
+            hints[gateway].hint.balance = NanoTokens(0);
             hints[gateway].observedAt = m_surroundings.now;
         }
     }
 
-    class Exchange final : public ChargeExchange {
+    class Exchange final : public ChargeTransport {
     public:
         Exchange(Shares& shares, int self)
             : m_shares(shares)
@@ -144,8 +144,8 @@
                 return;
             if (const auto* back = std::get_if<ChargeReturn>(&message))
                 m_shares.m_tables[holder].onReturn(*back, m_shares.m_surroundings.now);
-            else if (const auto* end = std::get_if<TurnEnd>(&message))
-                m_shares.m_tables[holder].onTurnEnd(*end);
+            else if (const auto* end = std::get_if<GatherUnlock>(&message))
+                m_shares.m_tables[holder].onGatherUnlock(*end);
         }
         std::vector<ShareView> shares(const ClientAccountId&, Instant) override
         {
@@ -176,7 +176,7 @@
 public:
     explicit ServiceBucket(Surroundings& surroundings)
         : m_surroundings(surroundings)
-        , m_bucket(limits, toNanos(limits.burst), start)
+        , m_bucket(limits, toNanoTokens(limits.burst), start)
     {
     }
     std::optional<Grant> acquire(const ClientAccountId&, Tokens wanted, Instant now) override
@@ -185,7 +185,7 @@
             return std::nullopt;
         // A read and a compare-and-swap.
         m_surroundings.serviceCalls += 2;
-        Tokens amount = std::min(wanted, wholeTokens(m_bucket.stockAt(now)));
+        Tokens amount = std::min(wanted, wholeTokens(m_bucket.balanceAt(now)));
         m_bucket.take(amount, now);
         return Grant { amount, now + seconds(2) };
     }
@@ -200,7 +200,7 @@
 public:
     explicit ServiceCounter(Surroundings& surroundings)
         : m_surroundings(surroundings)
-        , m_value { Revision(1), toNanos(limits.burst), start }
+        , m_value { Revision(1), toNanoTokens(limits.burst), start }
     {
     }
     std::optional<Value> read(const ClientAccountId&) override
@@ -211,7 +211,7 @@
     std::optional<bool> compareAndSwap(const ClientAccountId&, const Value& next) override
     {
         ++m_surroundings.serviceCalls;
-        m_value = { next.revision + Revision(1), next.stock, next.updatedAt };
+        m_value = { next.revision + Revision(1), next.balance, next.updatedAt };
         return true;
     }
 
@@ -247,7 +247,7 @@
             return std::make_unique<LeasePolicy>(m_bucket, 8);
         if (policy == "central")
             return std::make_unique<CentralPolicy>(m_counter, 5);
-        PlannerOptions options { .ownShareMargin = ownShareMargin, .self = InstanceId(std::to_string(gateway)) };
+        ChargeOptions options { .ownShareMargin = ownShareMargin, .self = InstanceId(std::to_string(gateway)) };
         return std::make_unique<SharePolicy>(options, *m_exchanges[gateway]);
     }
 
@@ -266,7 +266,7 @@
         , m_fleet(policy, ownShareMargin)
         , m_exact(limits, start)
     {
-        m_exact.addHandedOver(toNanos(limits.burst), start);
+        m_exact.addHandedOver(toNanoTokens(limits.burst), start);
     }
 
     nlohmann::json run(const std::vector<Arrival>& arrivals)
@@ -334,7 +334,7 @@
         // The platform's balancer sends nothing to a dead gateway.
         int gateway = m_fleet.surroundings().up[arrival.gateway] ? arrival.gateway : 0;
         Tokens cost(arrival.cost);
-        ChargeOrder order { request, account, cost, arrival.at + seconds(5) };
+        AccountCharge order { request, account, cost, arrival.at + seconds(5) };
         bool entitled = m_exact.charge(ChargeId(request.value()), cost, cost, arrival.at) == cost;
         bool admitted = m_fleet.at(gateway).admit(order, arrival.at).admitted;
         if (entitled || admitted)
--- a/bench/state_slope.cpp
+++ b/bench/state_slope.cpp
@@ -9,7 +9,7 @@
 #include "toucanstep/base/Text.h"
 #include "toucanstep/config/Delta.h"
 #include "toucanstep/config/Parser.h"
-#include "toucanstep/limits/ChargePlanner.h"
+#include "toucanstep/limits/ChargeCoordinator.h"
 #include "toucanstep/limits/ShareTable.h"
 
 #include <cstdlib>
@@ -226,8 +226,8 @@
         now += std::chrono::milliseconds(100);
         bool large = largeEvery && request % largeEvery == 0;
         base::Tokens cost(large ? 6'000'000 / shares + 1000 : 1500);
-        limits::PlannerOptions options { .self = self };
-        limits::ChargePlanner planner(options, { base::RequestId(base::concat("r", request)), chargedAccount, cost, now + std::chrono::seconds(1) }, views);
+        limits::ChargeOptions options { .self = self };
+        limits::ChargeCoordinator planner(options, { base::RequestId(base::concat("r", request)), chargedAccount, cost, now + std::chrono::seconds(1) }, views);
         auto started = planner.start(now);
         std::deque<limits::AddressedMessage> queue(started.begin(), started.end());
         while (!queue.empty()) {
@@ -242,7 +242,7 @@
             } else if (const auto* back = std::get_if<limits::ChargeReturn>(&next.message))
                 table.onReturn(*back, now);
             else
-                table.onTurnEnd(std::get<limits::TurnEnd>(next.message));
+                table.onGatherUnlock(std::get<limits::GatherUnlock>(next.message));
         }
         views = planner.shares();
     }
--- a/packages/cli/src/Explanation.cpp
+++ b/packages/cli/src/Explanation.cpp
@@ -25,7 +25,7 @@
 }
 
 // The shares of one account at three gateways, all reachable.
-class ReachableShares final : public limits::ChargeExchange {
+class ReachableShares final : public limits::ChargeTransport {
 public:
     ReachableShares(const config::ClientAccount& account, base::Instant since)
     {
@@ -44,8 +44,8 @@
     {
         if (const auto* back = std::get_if<limits::ChargeReturn>(&message))
             tableOf(to).onReturn(*back, present);
-        else if (const auto* end = std::get_if<limits::TurnEnd>(&message))
-            tableOf(to).onTurnEnd(*end);
+        else if (const auto* end = std::get_if<limits::GatherUnlock>(&message))
+            tableOf(to).onGatherUnlock(*end);
     }
     std::vector<limits::ShareView> shares(const base::ClientAccountId&, base::Instant now) override
     {
@@ -120,7 +120,7 @@
     std::optional<base::Refusal> charge()
     {
         ReachableShares shares(*m_account, start);
-        limits::SharePolicy policy(limits::PlannerOptions {}, shares);
+        limits::SharePolicy policy(limits::ChargeOptions {}, shares);
         limits::PolicyDecision decision = policy.admit({ base::RequestId("dry-run"), m_account->id, cost(), m_deadline }, present);
         m_output << "limits: cost " << cost() << " tokens against a burst of " << m_account->burst << " and " << m_account->tokensPerSecond
                  << " a second: " << (decision.admitted ? "admitted" : "refused") << "\n";
--- a/packages/gateway/src/ChargeCodec.cpp
+++ b/packages/gateway/src/ChargeCodec.cpp
@@ -12,7 +12,7 @@
 enum class MessageTag : int64_t {
     Request = 1,
     Return = 2,
-    TurnEnd = 3,
+    GatherUnlock = 3,
 };
 
 void write(FieldWriter& writer, const limits::ShareId& share)
@@ -32,7 +32,7 @@
 {
     writer.add(static_cast<int64_t>(MessageTag::Request)).add(request.charge.value());
     write(writer, request.share);
-    writer.add(request.epoch.value()).add(request.minimum.value()).add(request.wanted.value()).addDuration(request.turn).add(request.gatherer.value());
+    writer.add(request.epoch.value()).add(request.minimum.value()).add(request.wanted.value()).addDuration(request.lockTtl).add(request.gatherer.value());
 }
 
 void write(FieldWriter& writer, const limits::ChargeReturn& message)
@@ -42,9 +42,9 @@
     writer.add(message.epoch.value()).add(message.unused.value());
 }
 
-void write(FieldWriter& writer, const limits::TurnEnd& message)
+void write(FieldWriter& writer, const limits::GatherUnlock& message)
 {
-    writer.add(static_cast<int64_t>(MessageTag::TurnEnd));
+    writer.add(static_cast<int64_t>(MessageTag::GatherUnlock));
     write(writer, message.share);
     writer.add(message.epoch.value()).add(message.gatherer.value());
 }
@@ -57,7 +57,7 @@
     request.epoch = base::Epoch(reader.number());
     request.minimum = base::Tokens(reader.number());
     request.wanted = base::Tokens(reader.number());
-    request.turn = reader.duration();
+    request.lockTtl = reader.duration();
     request.gatherer = base::RequestId(reader.text());
     return request;
 }
@@ -72,9 +72,9 @@
     return message;
 }
 
-limits::TurnEnd readTurnEnd(FieldReader& reader)
+limits::GatherUnlock readGatherUnlock(FieldReader& reader)
 {
-    limits::TurnEnd message;
+    limits::GatherUnlock message;
     message.share = readShare(reader);
     message.epoch = base::Epoch(reader.number());
     message.gatherer = base::RequestId(reader.text());
@@ -86,8 +86,8 @@
     switch (reader.number()) {
     case static_cast<int64_t>(limits::ChargeResult::Granted):
         return limits::ChargeResult::Granted;
-    case static_cast<int64_t>(limits::ChargeResult::Lacks):
-        return limits::ChargeResult::Lacks;
+    case static_cast<int64_t>(limits::ChargeResult::Insufficient):
+        return limits::ChargeResult::Insufficient;
     case static_cast<int64_t>(limits::ChargeResult::Busy):
         return limits::ChargeResult::Busy;
     default:
@@ -114,7 +114,7 @@
     FieldWriter writer;
     writer.add(reply.charge.value()).add(static_cast<int64_t>(reply.result)).add(reply.granted.value()).addDuration(reply.retryAfter);
     write(writer, reply.hint.share);
-    writer.add(reply.hint.epoch.value()).add(reply.hint.stock.value());
+    writer.add(reply.hint.epoch.value()).add(reply.hint.balance.value());
     writer.add(reply.hint.limits.tokensPerSecond.value()).add(reply.hint.limits.burst.value());
     return writer.finish();
 }
@@ -123,7 +123,7 @@
 {
     FieldWriter writer;
     write(writer, handover.share);
-    return writer.add(handover.epoch.value()).add(handover.stock.value()).finish();
+    return writer.add(handover.epoch.value()).add(handover.balance.value()).finish();
 }
 
 base::Result<limits::ChargeMessage> decodeChargeMessage(std::string_view bytes)
@@ -137,8 +137,8 @@
     case MessageTag::Return:
         message = readReturn(reader);
         break;
-    case MessageTag::TurnEnd:
-        message = readTurnEnd(reader);
+    case MessageTag::GatherUnlock:
+        message = readGatherUnlock(reader);
         break;
     default:
         return malformed();
@@ -158,7 +158,7 @@
     reply.retryAfter = reader.duration();
     reply.hint.share = readShare(reader);
     reply.hint.epoch = base::Epoch(reader.number());
-    reply.hint.stock = limits::TokenNanos(reader.number());
+    reply.hint.balance = limits::NanoTokens(reader.number());
     reply.hint.limits.tokensPerSecond = base::Tokens(reader.number());
     reply.hint.limits.burst = base::Tokens(reader.number());
     if (!reader.complete())
@@ -172,7 +172,7 @@
     limits::Handover handover;
     handover.share = readShare(reader);
     handover.epoch = base::Epoch(reader.number());
-    handover.stock = limits::TokenNanos(reader.number());
+    handover.balance = limits::NanoTokens(reader.number());
     if (!reader.complete())
         return malformed();
     return handover;
--- a/packages/gateway/src/ShareLimitGate.cpp
+++ b/packages/gateway/src/ShareLimitGate.cpp
@@ -115,12 +115,12 @@
     return views;
 }
 
-void ShareLimitGate::charge(const limits::ChargeOrder& order, Callback callback)
+void ShareLimitGate::charge(const limits::AccountCharge& order, Callback callback)
 {
     base::Instant at = now();
-    limits::PlannerOptions options;
+    limits::ChargeOptions options;
     options.self = m_agent.self().instance;
-    auto charging = std::make_unique<Charging>(Charging { limits::ChargePlanner(options, order, viewsOf(order.account, at)), std::move(callback), order.account });
+    auto charging = std::make_unique<Charging>(Charging { limits::ChargeCoordinator(options, order, viewsOf(order.account, at)), std::move(callback), order.account });
     Charging& added = *charging;
     m_charging.emplace(order.request, std::move(charging));
     advance(order.request, added.planner.start(at));
@@ -252,8 +252,8 @@
     }
     if (auto* unused = std::get_if<limits::ChargeReturn>(&message))
         m_table.onReturn(*unused, at);
-    else if (auto* end = std::get_if<limits::TurnEnd>(&message))
-        m_table.onTurnEnd(*end);
+    else if (auto* end = std::get_if<limits::GatherUnlock>(&message))
+        m_table.onGatherUnlock(*end);
     return std::nullopt;
 }
 
--- a/packages/gateway/src/ShareLimitGate.h
+++ b/packages/gateway/src/ShareLimitGate.h
@@ -4,7 +4,7 @@
 #pragma once
 
 #include "LimitGate.h"
-#include "toucanstep/limits/ChargePlanner.h"
+#include "toucanstep/limits/ChargeCoordinator.h"
 #include "toucanstep/limits/ShareTable.h"
 #include "toucanstep/node/AssignmentAgent.h"
 
@@ -28,7 +28,7 @@
     void install();
 
     void onConfiguration(const config::Configuration&, base::Instant now) override;
-    void charge(const limits::ChargeOrder&, Callback) override;
+    void charge(const limits::AccountCharge&, Callback) override;
     void settle(const base::RequestId&, base::Tokens unused) override;
 
     // The rows have changed.
@@ -39,7 +39,7 @@
 
 private:
     struct Charging {
-        limits::ChargePlanner planner;
+        limits::ChargeCoordinator planner;
         Callback callback;
         base::ClientAccountId account;
         io::EventLoop::TimerId timer = 0;
--- a/packages/limits/test/WindowOracle.h
+++ b/packages/limits/test/WindowOracle.h
@@ -1,4 +1,5 @@
-// Judges whether what an account used kept its limits in every window. Written without the library's buckets.
+// Test oracle that checks an account's usage against its limits in every window. Does not use the library's token
+// bucket.
 
 #pragma once
 
@@ -13,19 +14,19 @@
 
 class WindowOracle {
 public:
-    // From `at` on no gateway applies more than these limits.
-    void limitsFrom(base::Instant at, BucketLimits limits) { m_limits.push_back({ at, limits }); }
-    void used(base::Instant at, int64_t tokens) { m_uses.push_back({ at, tokens }); }
+    // No gateway applies higher limits than these from `at` until the next call.
+    void addLimits(base::Instant at, BucketLimits limits) { m_limits.push_back({ at, limits }); }
+    void addUse(base::Instant at, int64_t tokens) { m_uses.push_back({ at, tokens }); }
 
-    // Describes a window with more than burst + rate x (window + allowance), or is empty.
-    std::string firstBreak(base::Duration allowance = {}) const
+    // Describes the first window with more than burst + rate x (window + allowance); empty if there is none.
+    std::string firstViolation(base::Duration allowance = {}) const
     {
         auto uses = m_uses;
         std::stable_sort(uses.begin(), uses.end(), [](const Use& left, const Use& right) { return left.at < right.at; });
         for (size_t first = 0; first < uses.size(); ++first) {
             __int128 sum = 0;
             for (size_t last = first; last < uses.size(); ++last) {
-                sum += static_cast<__int128>(uses[last].tokens) * nanosPerToken;
+                sum += static_cast<__int128>(uses[last].tokens) * nanoTokensPerToken;
                 __int128 allowed = allowedBetween(uses[first].at - allowance, uses[last].at);
                 if (sum > allowed)
                     return describe(uses[first].at, uses[last].at, sum, allowed);
@@ -57,14 +58,14 @@
             accrued += static_cast<__int128>((until - from).count()) * m_limits[index].limits.tokensPerSecond.value();
             burst = std::max(burst, m_limits[index].limits.burst.value());
         }
-        return accrued + static_cast<__int128>(burst) * nanosPerToken;
+        return accrued + static_cast<__int128>(burst) * nanoTokensPerToken;
     }
 
     static std::string describe(base::Instant from, base::Instant to, __int128 sum, __int128 allowed)
     {
         std::ostringstream text;
-        text << "window of " << (to - from).count() << " ns: used " << static_cast<double>(sum) / nanosPerToken << " tokens, allowed "
-             << static_cast<double>(allowed) / nanosPerToken;
+        text << "window of " << (to - from).count() << " ns: used " << static_cast<double>(sum) / nanoTokensPerToken << " tokens, allowed "
+             << static_cast<double>(allowed) / nanoTokensPerToken;
         return text.str();
     }
 
