--- a/samples/assignments_sample.cpp
+++ b/samples/assignments_sample.cpp
@@ -18,7 +18,7 @@
     return Instant(seconds(second));
 }
 
-Exchange sentAt(int second)
+RequestWindow sentAt(int second)
 {
     return { at(second), at(second + 1) };
 }
@@ -39,7 +39,7 @@
     RangeReply read { { { put.key, put.value, Revision(8), Revision(8) } }, Revision(8) };
     if (mover.onRead(claim.id, read) != MoveState::Committed)
         return EXIT_FAILURE;
-    Row row = *mover.written(claim.id);
+    Row row = *mover.writtenRow(claim.id);
     std::cout << "holds " << put.key << " with epoch " << row.epoch << "\n";
 
     // The list shows this instance, so the row is usable, and goes on to be while answers keep coming.
