--- a/packages/direct/include/toucanstep/direct/DesiredState.h
+++ b/packages/direct/include/toucanstep/direct/DesiredState.h
@@ -53,7 +53,7 @@
     base::Duration callerAbandonTimeout {};
     // 0 is the most urgent.
     int64_t priority = 0;
-    // Maximum number of upstreams that one request may be sent to.
+    // Maximum number of times one request may be sent; a send that is known not to have run does not count.
     int64_t attempts = 1;
     std::vector<Destination> destinations;
 
--- a/packages/direct/include/toucanstep/direct/PlannerLeadership.h
+++ b/packages/direct/include/toucanstep/direct/PlannerLeadership.h
@@ -3,7 +3,7 @@
 //
 // Leadership is a key in the store under a lease. The planner counts the lease from the time at which it sent the renewal,
 // by a clock that also runs while the machine is suspended, and stops a margin before the lease ends. Its successor waits
-// for the hand-over pause. The revision at which the key was written is the fencing token and grows with each planner.
+// for the handover delay. The revision at which the key was written is the fencing token and grows with each planner.
 //
 // A second key, without a lease, names the gateway that sent the last orders. That gateway resumes without a pause after all
 // processes were killed, after an outage of the store in which its lease ended, or after a restart. Other gateways therefore
@@ -26,7 +26,7 @@
     // Orders stop this long before the lease ends, so that the last one still arrives within it.
     base::Duration margin = std::chrono::milliseconds(300);
     // Time without orders after the last one that another planner may have sent.
-    base::Duration handOverPause = std::chrono::seconds(3);
+    base::Duration handoverDelay = std::chrono::seconds(3);
     // Time for the last planner to take a vacant leadership back before others try: a few calls to the store.
     base::Duration lastPlannerHeadStart = std::chrono::milliseconds(400);
 };
--- a/packages/direct/src/FleetReports.cpp
+++ b/packages/direct/src/FleetReports.cpp
@@ -40,13 +40,13 @@
     Json strikes = Json::array();
     for (const auto& strike : report.strikes)
         strikes.push_back({ strike.fingerprint.value(), strike.crash.value(), inMilliseconds(strike.remaining) });
-    Json unheard = Json::array();
+    Json silentPeers = Json::array();
     for (const auto& peer : report.limits.silentPeers)
-        unheard.push_back(peer.value());
-    Json stocks = Json::array();
+        silentPeers.push_back(peer.value());
+    Json balances = Json::array();
     for (const auto& known : report.limits.balances)
-        stocks.push_back({ known.account.value(), known.balance.value() });
-    return Json::array({ encodeHeader(ReportKind::Load, report.sender), report.configuration.value(), directories, report.leaving, use, charges, strikes, unheard, report.limits.liveSetDigest, stocks });
+        balances.push_back({ known.account.value(), known.balance.value() });
+    return Json::array({ encodeHeader(ReportKind::Load, report.sender), report.configuration.value(), directories, report.leaving, use, charges, strikes, silentPeers, report.limits.liveSetDigest, balances });
 }
 
 Json encode(const DemandReport& report)
--- a/packages/direct/src/LeaderElection.cpp
+++ b/packages/direct/src/LeaderElection.cpp
@@ -19,7 +19,7 @@
 {
     PlannerLeadershipSettings leadership;
     leadership.lease = settings.plannerLease;
-    leadership.handOverPause = settings.plannerHandoverDelay;
+    leadership.handoverDelay = settings.plannerHandoverDelay;
     return leadership;
 }
 
--- a/packages/direct/src/PlannerLeadership.cpp
+++ b/packages/direct/src/PlannerLeadership.cpp
@@ -22,7 +22,7 @@
     if (!m_vacantSince)
         m_vacantSince = now;
     bool anotherCanResume = record.lastPlanner && !record.lastPlanner->empty() && *record.lastPlanner != m_self;
-    bool leftToLastPlanner = anotherCanResume && m_settings.handOverPause > base::Duration::zero();
+    bool leftToLastPlanner = anotherCanResume && m_settings.handoverDelay > base::Duration::zero();
     return !leftToLastPlanner || now - *m_vacantSince >= m_settings.lastPlannerHeadStart;
 }
 
@@ -35,7 +35,7 @@
 {
     m_fence = fence;
     m_recorded = canResume;
-    m_ordersAllowedFrom = canResume ? now : now + m_settings.handOverPause;
+    m_ordersAllowedFrom = canResume ? now : now + m_settings.handoverDelay;
     m_validUntil = renewalSent + m_settings.lease - m_settings.margin;
 }
 
